--- a/src/standin/duty_world.cpp
+++ b/src/standin/duty_world.cpp
@@ -51,6 +51,12 @@
 Time DutyWorld::local(const Process& p) const {
   return start_ + std::chrono::duration_cast<Duration>((now_ - start_) * p.rate);
 }
+void DutyWorld::trace(std::size_t process, std::string_view what) const {
+  if (!settings_.trace) return;
+  std::string line = exact(now_) + ' ' + std::to_string(process) + ' ';
+  line += what;
+  settings_.trace(line);
+}
 Duration DutyWorld::delay() { return kNetwork + std::chrono::duration_cast<Duration>(kNetwork * draw()); }
 
 void DutyWorld::check() {
@@ -100,6 +106,10 @@
       reach(at, life, [this, at] {
         Process& process = *processes_[at];
         const auto before = std::exchange(process.acting, process.fleet->allowed());
+        if (settings_.trace)
+          trace(at, "part " + std::to_string(process.acting.epoch) + ' ' +
+                        std::to_string(process.acting.part) + ' ' + std::to_string(process.acting.after) +
+                        ' ' + exact(process.acting.until));
         process.fleet->applied(process.acting.epoch);
         check();
         if (before.epoch != process.acting.epoch) turn(at);
@@ -143,7 +153,9 @@
   const std::uint64_t life = processes_[at]->life;
   reach(at, life, [this, at] {
     Process& p = *processes_[at];
+    const std::uint64_t before = figures_.edges.sent, refused = figures_.edges.refused;
     const auto sent = p.edge->send(now_, local(p), random_, moves_, figures_.edges);
+    trace(at, figures_.edges.sent > before ? "sent" : figures_.edges.refused > refused ? "closed" : "none");
     if (!sent.empty() && figures_.violation.empty()) figures_.violation = sent;
     const auto acted = p.edge->acted(now_);
     if (acted >= 0) p.fleet->applied(*p.mover, acted);
@@ -159,6 +171,7 @@
 void DutyWorld::ask(std::size_t at, const store::Request& request) {
   Process& p = *processes_[at];
   ++figures_.calls;
+  if (settings_.trace) trace(at, describe(request));
   if (std::holds_alternative<store::Grant>(request))
     ++figures_.grants_by_second[(now_ - start_) / std::chrono::seconds(1)];
   const std::uint64_t life = p.life, call = ++p.call;
@@ -167,6 +180,7 @@
     reach(at, life, [this, at, call, reply] {
       Process& process = *processes_[at];
       if (process.call != call) return;
+      if (settings_.trace) trace(at, describe(reply));
       ++process.call;
       if (std::holds_alternative<store::Done>(reply))
         process.addresses->answered(local(process));
@@ -223,6 +237,7 @@
     if (!message.events.empty()) watch->from = message.events.back().now.mod + 1;
     const auto slot = static_cast<Fleet::Slot>(i);
     heard = true;
+    if (settings_.trace) trace(at, describe(message));
     p.fleet->heard(slot, message);
     if (draw() < kRepeated) p.fleet->heard(slot, message);
     if (message.canceled || draw() < settings_.watch_cut) watch.reset(), p.fleet->cut(slot);
--- a/src/standin/duty_world.h
+++ b/src/standin/duty_world.h
@@ -18,6 +18,7 @@
 #include "standin/edge.h"
 #include "standin/history.h"
 #include "standin/store_model.h"
+#include "standin/trace.h"
 
 namespace yokestream::standin {
 
@@ -29,6 +30,7 @@
   double rates = 0.01;                                   // clocks run fast or slow by up to so much
   std::uint64_t seed = 1;
   EdgeSettings edges;  // what the processes send, where areas move
+  Trace trace;         // of what the processes ask, are told, and act on
 };
 
 struct DutyFigures {
@@ -94,6 +96,7 @@
       return std::tie(time, order) > std::tie(other.time, other.order);
     }
   };
+  void trace(std::size_t process, std::string_view what) const;
   void later(Time time, std::function<void()> what);
   double draw() { return std::uniform_real_distribution<double>(0, 1)(random_); }
   Time local(const Process& process) const;
--- a/src/standin/fleet.h
+++ b/src/standin/fleet.h
@@ -20,6 +20,7 @@
 #include "standin/draw.h"
 #include "standin/engine_model.h"
 #include "standin/schedule.h"
+#include "standin/trace.h"
 
 namespace yokestream::standin {
 
@@ -31,6 +32,7 @@
   Duration notice = std::chrono::milliseconds(800);  // until a manager hears of a change to the list
   std::uint64_t seed = 1;
   bool by_traffic = false;  // each counts on its part by the duty `shares`, in place of one over all
+  Trace trace;              // of each core's events and of what it does
 };
 
 struct FleetSecond {  // of the requests first asked for in it
--- a/src/standin/fleet_seat.h
+++ b/src/standin/fleet_seat.h
@@ -55,8 +55,22 @@
     if (part > 0) core->count_fronts(1 / part);
     for (std::uint64_t id = 1; id <= kSessions; ++id) hear(manager::SessionBegan{manager::SessionId{id}, id});
   }
+  void trace(std::string_view what) const {
+    if (!fleet.settings_.trace) return;
+    std::string line = exact(fleet.now_);
+    line += ' ' + std::to_string(index) + ' ';
+    line += what;
+    fleet.settings_.trace(line);
+  }
+  void trace(const char* what, manager::LinkId link, std::string_view id) const {
+    if (!fleet.settings_.trace) return;
+    std::string line = std::string(what) + ' ' + std::to_string(static_cast<std::uint64_t>(link)) + ' ';
+    line += id;
+    trace(line);
+  }
   void hear(manager::Event event) {
     if (!core) return;
+    if (fleet.settings_.trace) trace(describe(event));
     core->handle(fleet.now_, std::move(event));
     look_later();
   }
@@ -89,7 +103,10 @@
   void serve(manager::SessionId, manager::CallId c, manager::Result) override { say(c, "served"); }
   void refuse(manager::SessionId, manager::CallId c, Duration) override { say(c, "refused"); }
   void fail(manager::SessionId, manager::CallId c, std::string_view) override { say(c, "failed"); }
-  void say(manager::CallId call, const char* how) { fleet.answered(index, call, how); }
+  void say(manager::CallId call, const char* how) {
+    if (fleet.settings_.trace) trace(how + std::string(" ") + std::to_string(call));
+    fleet.answered(index, call, how);
+  }
   void answer_probe(manager::SessionId, manager::CallId, bool) override {}
   void close(manager::SessionId) override {}
   bool close_idle(manager::SessionId) override { return false; }  // these clients are never idle for long
@@ -97,6 +114,7 @@
   void open(manager::LinkId link, const config::Endpoint& endpoint, Time deadline) override {
     const auto id = static_cast<std::uint64_t>(link);
     const auto engine = static_cast<std::size_t>(endpoint.port - kFirstPort);
+    trace("open", link, exact(deadline));
     links[id] = {engine, false};
     ++fleet.figures_.handshakes;
     const bool silent = fleet.engines_[engine].silent;
@@ -115,6 +133,7 @@
   void send(manager::LinkId link, manager::SendTag, EngineRequest request) override {
     const auto id = static_cast<std::uint64_t>(link);
     const std::size_t engine = links.at(id).engine;
+    trace("send", link, request.id + ' ' + std::to_string(request.band) + ' ' + exact(request.deadline));
     ++fleet.figures_.sends;
     fleet.figures_.sends_to_gone += gone.count(engine);
     fleet.later(fleet.now_ + kWire + kWire + kWire, [this, id, engine, request, in_life = life] {
@@ -123,10 +142,12 @@
   }
   bool withdraw(manager::LinkId, manager::SendTag) override { return false; }
   void stop(manager::LinkId link, std::string_view id) override {
+    trace("stop", link, id);
     const std::size_t engine = links.at(static_cast<std::uint64_t>(link)).engine;
     fleet.later(fleet.now_ + kWire, [this, engine, id = std::string(id)] { fleet.stopped(engine, id); });
   }
   void hello(manager::LinkId link, std::string_view tag) override {
+    trace("hello", link, tag);
     const auto id = static_cast<std::uint64_t>(link);
     EngineAnswer green;
     green.id = std::string(tag);
@@ -138,6 +159,7 @@
     });
   }
   void nice(manager::LinkId link, std::string_view id, std::uint32_t band) override {
+    trace("nice", link, std::string(id) + ' ' + std::to_string(band));
     const std::size_t engine = links.at(static_cast<std::uint64_t>(link)).engine;
     fleet.engines_[engine].model->nice(fleet.now_, std::string(id), band);
     fleet.reschedule(engine);
@@ -145,6 +167,7 @@
   void fetch(manager::LinkId, std::string_view, std::uint32_t) override {}
   void end(manager::LinkId, std::string_view) override {}
   void close(manager::LinkId link) override {
+    trace("close", link, "");
     const auto it = links.find(static_cast<std::uint64_t>(link));
     if (it == links.end()) return;
     Engine& e = fleet.engines_[it->second.engine];
--- a/src/standin/scenarios.h
+++ b/src/standin/scenarios.h
@@ -2,6 +2,7 @@
 // when. Tests assert on them, `yokestream-standin sim` prints them.
 #pragma once
 
+#include <functional>
 #include <memory>
 #include <string>
 #include <vector>
@@ -15,7 +16,7 @@
   std::vector<Load> flood;  // beside everybody's usual traffic
   double usual = 0.6;       // of the engines' capacity that the usual traffic asks for
   Duration length = std::chrono::seconds(40);
-  void (*incidents)(World& world) = nullptr;  // put on its timeline
+  std::function<void(World& world)> incidents = {};  // put on its timeline
 };
 
 const std::vector<Scenario>& scenarios();
--- /dev/null
+++ b/src/standin/trace.cpp
@@ -0,0 +1,112 @@
+#include "standin/trace.h"
+
+#include <cstdio>
+#include <type_traits>
+
+#include "store/wire.h"
+
+namespace yokestream::standin {
+namespace {
+
+using manager::Event;
+
+// Joins its parts by single spaces.
+template <class... Parts>
+std::string line(const Parts&... parts) {
+  std::string out;
+  const auto add = [&](const auto& part) {
+    if (!out.empty()) out += ' ';
+    if constexpr (std::is_convertible_v<decltype(part), std::string_view>)
+      out += std::string_view(part);
+    else if constexpr (std::is_enum_v<std::decay_t<decltype(part)>>)
+      out += std::to_string(static_cast<std::uint64_t>(part));
+    else
+      out += std::to_string(part);
+  };
+  (add(parts), ...);
+  return out;
+}
+
+std::string describe_request(const manager::Arrived& a) {
+  return line(a.session, a.call, a.request_id, a.cls, a.tenant, a.tables, exact(a.memory_mb),
+              a.work ? exact(*a.work) : "-", exact(a.deadline), a.repeat, a.statement);
+}
+
+std::string describe_list(const config::MembersEvent& event) {
+  std::string out = line(event.number, event.whole);
+  for (const auto& m : event.members)
+    out += line(" |", m.uid, m.endpoint ? to_string(*m.endpoint) : "-", m.zone, m.kind, m.cell, m.state,
+                exact(m.weight), m.boot_ms);
+  return out;
+}
+
+std::string describe_answer(const EngineAnswer& a) {
+  std::string out = line(a.id, a.word, a.pages, a.page, a.remark, exact(a.datum),
+                         a.elapsed_ms ? exact(*a.elapsed_ms) : "-", exact(a.rss_mb), a.body);
+  for (const double x : a.report) out += ' ' + exact(x);
+  return out;
+}
+
+struct EventWords {
+  std::string operator()(const manager::SessionBegan& e) const {
+    return line("session", e.session, e.origin);
+  }
+  std::string operator()(const manager::Arrived& e) const { return line("request", describe_request(e)); }
+  std::string operator()(const manager::BadRequest& e) const {
+    return line("bad", e.session, e.call, e.problem);
+  }
+  std::string operator()(const manager::GaveUp& e) const { return line("gave-up", e.session, e.call); }
+  std::string operator()(const manager::ProbeAsked& e) const { return line("probe", e.session, e.call); }
+  std::string operator()(const manager::QuoteAsked& e) const {
+    return line("quote", describe_request(e.request));
+  }
+  std::string operator()(const manager::SessionEnded& e) const { return line("session-end", e.session); }
+  std::string operator()(const manager::SessionStalled& e) const { return line("stalled", e.session); }
+  std::string operator()(const manager::LinkUp& e) const { return line("up", e.link); }
+  std::string operator()(const manager::LinkEnded& e) const { return line("down", e.link, e.local); }
+  std::string operator()(const manager::Answered& e) const {
+    return line("answer", e.link, describe_answer(e.answer));
+  }
+  std::string operator()(const manager::ListChanged& e) const { return line("list", describe_list(e.event)); }
+  std::string operator()(const manager::Leave& e) const { return line("leave", e.successor, exact(e.most)); }
+  std::string operator()(const manager::Evacuate&) const { return "evacuate"; }
+  std::string operator()(const manager::Activate&) const { return "activate"; }
+};
+
+std::string describe_key(const store::KeyValue& kv) {
+  return line(kv.key, kv.value, kv.create, kv.mod, kv.version, kv.lease);
+}
+
+}  // namespace
+
+std::string exact(double x) {
+  char text[32];
+  std::snprintf(text, sizeof text, "%a", x);
+  return text;
+}
+
+std::string describe(const Event& event) { return std::visit(EventWords{}, event); }
+
+std::string describe(const store::Request& request) {
+  const store::Call call = store::encode(request);
+  return line("ask", call.path, call.body, call.writes);
+}
+
+std::string describe(const store::Reply& reply) {
+  if (std::holds_alternative<store::Unknown>(reply)) return "reply unknown";
+  if (const auto* failed = std::get_if<store::Failed>(&reply)) return line("reply failed", failed->compacted);
+  const auto& done = std::get<store::Done>(reply);
+  std::string out = line("reply done", done.revision, done.succeeded, done.lease, done.ttl_s);
+  for (const auto& ranged : done.ranges)
+    for (const auto& kv : ranged.all) out += " | " + describe_key(kv);
+  return out;
+}
+
+std::string describe(const store::Watched& message) {
+  std::string out = line("watched", message.revision, message.created, message.canceled, message.compacted);
+  for (const auto& event : message.events)
+    out += line(" |", event.kind == store::WatchEvent::Kind::put, describe_key(event.now));
+  return out;
+}
+
+}  // namespace yokestream::standin
--- a/src/standin/world.cpp
+++ b/src/standin/world.cpp
@@ -48,9 +48,20 @@
 }
 
 void World::hear(manager::Event event) {
-  if (now_ >= frozen_until_) return core_->handle(now_, std::move(event));
+  if (now_ >= frozen_until_) {
+    if (trace) trace(exact(now_) + ' ' + describe(event));
+    return core_->handle(now_, std::move(event));
+  }
   later(frozen_until_, [this, event = std::move(event)] { hear(event); });
 }
+void World::tell_trace(std::string_view what, std::uint64_t of, std::string_view rest) const {
+  if (!trace) return;
+  std::string line = exact(now_) + ' ';
+  line += what;
+  line += ' ' + std::to_string(of) + ' ';
+  line += rest;
+  trace(line);
+}
 void World::freeze(Duration how_long) { frozen_until_ = now_ + how_long; }
 
 void World::run(Duration until_since_start) {
@@ -170,6 +181,7 @@
 
 void World::answered(manager::SessionId session, manager::CallId call, const std::string& how,
                      Duration hint) {
+  tell_trace(how, call, std::to_string(static_cast<std::uint64_t>(session)) + ' ' + exact(hint));
   if (record)
     actions.push_back(how + " " + std::to_string(static_cast<std::uint64_t>(session)) + " " +
                       std::to_string(call));
@@ -225,6 +237,7 @@
 }
 void World::quoted(manager::SessionId s, manager::CallId c, const queues::Quote& quote) {
   const auto it = open_.find({s, c});
+  tell_trace("quoted", c, exact(quote.wait));
   if (it != open_.end()) asked_.at(it->second.id).quoted = seconds_of(quote.wait);
 }
 void World::close(manager::SessionId session) {
@@ -249,6 +262,8 @@
 }
 
 void World::send(manager::LinkId link, manager::SendTag, EngineRequest request) {
+  tell_trace("send", static_cast<std::uint64_t>(link),
+             request.id + ' ' + std::to_string(request.band) + ' ' + exact(request.deadline));
   if (record) actions.push_back("send " + request.id);
   Asked& asked = asked_.at(request.id);
   if (asked.quoted >= 0) {
@@ -305,6 +320,7 @@
 }
 
 void World::stop(manager::LinkId link, std::string_view id) {
+  tell_trace("stop", static_cast<std::uint64_t>(link), id);
   if (record) actions.push_back("stop " + std::string(id));
   later(now_ + kWire, [this, link, id = std::string(id)] {
     const auto it = links_.find(link);
@@ -325,11 +341,13 @@
 }
 
 void World::nice(manager::LinkId link, std::string_view id, std::uint32_t band) {
+  tell_trace("nice", static_cast<std::uint64_t>(link), std::string(id) + ' ' + std::to_string(band));
   const auto it = links_.find(link);
   if (it != links_.end()) engines_[it->second].model->nice(now_, std::string(id), band);
 }
 
 void World::close(manager::LinkId link) {
+  tell_trace("close", static_cast<std::uint64_t>(link), "");
   const auto it = links_.find(link);
   if (it == links_.end()) return;
   Engine& e = engines_[it->second];
--- a/src/standin/world.h
+++ b/src/standin/world.h
@@ -16,6 +16,7 @@
 #include "standin/draw.h"
 #include "standin/engine_model.h"
 #include "standin/schedule.h"
+#include "standin/trace.h"
 
 namespace yokestream::standin {
 
@@ -84,6 +85,7 @@
   Time now() const { return now_; }
   std::vector<std::string> actions;  // what left the core, where `record` is set
   bool record = false;
+  Trace trace;  // of the core's events and of what it does
 
  private:
   struct Try {
@@ -112,6 +114,7 @@
     double quoted = -1;  // none, or done with
   };
   void hear(manager::Event event);
+  void tell_trace(std::string_view what, std::uint64_t of, std::string_view rest) const;
   void later(Time time, std::function<void()> what);
   void arrivals(std::size_t load);
   void send_try(Try t);
--- /dev/null
+++ b/tests/golden/stored_bytes.cpp
@@ -0,0 +1,187 @@
+// What goes over wires and what is stored, by fixed values.
+#include <fstream>
+#include <iterator>
+
+#include "base/json.h"
+#include "duty/shares.h"
+#include "figures/figures.h"
+#include "learnt/codec.h"
+#include "line_hash.h"
+#include "migration/record.h"
+#include "protocol/management_call.h"
+#include "protocol/msgpack_rpc.h"
+#include "protocol/resp.h"
+#include "protocol/sse.h"
+#include "standin/trace.h"
+
+namespace yokestream::golden {
+namespace {
+
+using lynxstand::Duration;
+using lynxstand::Learnt;
+using lynxstand::Time;
+using lynxstand::Weights;
+using std::chrono::milliseconds;
+
+constexpr Time kStoredAt{std::chrono::seconds(5000)};
+constexpr Duration kAge = std::chrono::seconds(3);
+
+config::RealSettings names() {
+  config::RealSettings out;
+  out.classes = {"look", "load"};
+  out.kinds = {"small", "large"};
+  return out;
+}
+
+Learnt learned_value() {
+  Learnt value;
+  value.pool = {1.5, 6.25, 0.125, 2, 3, 4, 1.5, 256, 8};
+  value.classes.resize(2);
+  value.classes[0] = {1.25, 0.5, 100, 0.25, 90, -0.5, 0.75, -1, 12, 1.5, 1.25};
+  value.classes[1] = {2, 1, 3, 1.5, 2, 0.5, 1, 0.25, 0, 1, 1};
+  const Weights weights{{0.5, 0.25}, {0.125, 0}};
+  value.kinds = {weights, {{0, 0}, {0, 0}}};
+  value.engines.push_back({{"engine-a"}, std::nullopt, {weights, {1, 2}, 0.25, 4, 0.125, false}});
+  value.engines.push_back({{"engine-b"}, Time(milliseconds(1234)), {weights, {3, 4}, -0.5, 0, 0.5, true}});
+  return value;
+}
+
+duty::Fact fact() {
+  return {"node-1", "0.1.0", 12.5, {{"shares", 7}, {"migration", 2}}, {{"south", {1, 2, 3}}}};
+}
+
+duty::Table table() { return {9, 41, {{"00000000000000a1", 500000000}, {"00000000000000a2", 250000000}}}; }
+
+migration::Record record() {
+  migration::Plan plan;
+  plan.name = "south";
+  plan.origins["old"].zones = {"a"};
+  plan.origins["new"].zones = {"b"};
+  plan.moves = {{migration::TableGroupId{1}, "old", "new", {}},
+                {migration::TableGroupId{2}, "old", "new", {migration::TableGroupId{1}}}};
+  plan.stages = {{0.5, 0.25, std::chrono::seconds(30)}, {1, 1, std::chrono::seconds(60)}};
+  plan.gate.emplace();
+  migration::Record out;
+  out.epoch = 4;
+  out.term = 17;
+  out.roster = {{"00000000000000a1", "node-1"}};
+  out.homes[migration::TableGroupId{3}] = {"new", plan.origins["new"]};
+  out.plans = {{plan, {2, 0}, false, true, "the gate failed"}};
+  out.ended = {{"north", "done"}};
+  return out;
+}
+
+std::string telemetry() {
+  figures::Figures figures({"look", "load"});
+  figures.ended(0, figures::End::served);
+  figures.ended(1, figures::End::refused);
+  figures.ended(1, figures::End::failed);
+  figures.attempt();
+  figures.set_in_flight(3);
+  figures.set_engines(5, 2);
+  return protocol::encode_success(figures.text() + "EOT\n");
+}
+
+std::string read_file(const std::string& path) {
+  std::ifstream in(path, std::ios::binary);
+  return {std::istreambuf_iterator<char>(in), {}};
+}
+void write_file(const std::string& path, const std::string& bytes) {
+  std::ofstream(path, std::ios::binary) << bytes;
+}
+
+const char* const kLearned = "/learned_state.bin";
+const char* const kFact = "/process_fact.json";
+const char* const kTable = "/load_shares.json";
+const char* const kRecord = "/migration_record.json";
+const char* const kTelemetry = "/admin_telemetry.txt";
+
+EngineRequest engine_request() {
+  EngineRequest request;
+  request.id = "00000000000000ff";
+  request.profile = "look";
+  request.deadline = kStoredAt + milliseconds(1500);
+  request.band = 2;
+  request.statement = "select 1";
+  return request;
+}
+
+std::string describe_answers(const std::string& bytes) {
+  protocol::RespReader reader({"queue", "inflight", "x0"});
+  reader.feed(bytes);
+  std::string out;
+  while (const auto answer = reader.next())
+    out += standin::describe(manager::Event(manager::Answered{manager::LinkId{1}, *answer})) + "; ";
+  return out;
+}
+
+std::string bulk(const std::vector<std::string>& parts) {
+  std::string out = "*" + std::to_string(parts.size()) + "\r\n";
+  for (const auto& part : parts) out += "$" + std::to_string(part.size()) + "\r\n" + part + "\r\n";
+  return out;
+}
+
+}  // namespace
+
+std::vector<Golden> wire_bytes() {
+  LineHash clients, engines, operators, stored;
+  clients.add(protocol::encode_result(7, "a\tb\tc\n", {{"rows", "1"}}));
+  clients.add(protocol::encode_error(8, "Late", {{"holdoff", "250"}}));
+  clients.add(protocol::encode_probe_answer(9, true));
+  clients.add(protocol::encode_probe_answer(9, false));
+  engines.add(protocol::encode_request(engine_request(), kStoredAt));
+  engines.add(protocol::encode_stop("id"));
+  engines.add(protocol::encode_hello("tag"));
+  engines.add(protocol::encode_nice("id", 3));
+  engines.add(protocol::encode_fetch("id", 2));
+  engines.add(protocol::encode_end("id"));
+  engines.add(describe_answers(bulk({"stop-1", "green"})));
+  engines.add(describe_answers(bulk({"a", "overload"}) + bulk({"a", "nobody"}) + bulk({"a", "crashed"})));
+  engines.add(describe_answers(bulk({"a", "update", "remark=progress,datum=0.25"})));
+  engines.add(describe_answers(
+      bulk({"a", "served", "total=3,elapsed=12.5,rss=96,report=queue:2;inflight:7;x0:0.5", "a\tb\tc\n"})));
+  engines.add(describe_answers(bulk({"a", "rows", "index=2", "a\tb\tc\n"})));
+  operators.add(protocol::encode_subscription("127.0.0.1:80", "/feed", 12));
+  operators.add(protocol::encode_failure("not ready yet"));
+  operators.add(telemetry());
+  stored.add(learnt::encode(learned_value(), names(), kStoredAt));
+  stored.add(duty::encode(fact()));
+  stored.add(duty::encode(table()));
+  stored.add(migration::encode(record()));
+  return {clients.result("wire-clients"), engines.result("wire-engines"), operators.result("wire-operators"),
+          stored.result("stored")};
+}
+
+void write_stored(const std::string& folder) {
+  write_file(folder + kLearned, learnt::encode(learned_value(), names(), kStoredAt));
+  write_file(folder + kFact, duty::encode(fact()));
+  write_file(folder + kTable, duty::encode(table()));
+  write_file(folder + kRecord, migration::encode(record()));
+  write_file(folder + kTelemetry, telemetry());
+}
+
+std::vector<std::string> check_stored(const std::string& folder) {
+  std::vector<std::string> problems;
+  const auto need = [&](bool good, const char* file) {
+    if (!good) problems.push_back(std::string("not read as it was written: ") + (file + 1));
+  };
+  const auto bytes = read_file(folder + kLearned);
+  const auto learned = learnt::decode(bytes, names(), kStoredAt + kAge);
+  const auto* inherited = std::get_if<learnt::Inherited>(&learned);
+  need(inherited && inherited->age == kAge && inherited->learnt == learned_value() &&
+           learnt::encode(inherited->learnt, names(), kStoredAt) == bytes,
+       kLearned);
+  const auto fact_text = read_file(folder + kFact);
+  const auto old_fact = duty::decode_fact(fact_text);
+  need(old_fact && *old_fact == fact() && duty::encode(*old_fact) == fact_text, kFact);
+  const auto table_text = read_file(folder + kTable);
+  const auto old_table = duty::decode_table(table_text);
+  need(old_table && *old_table == table() && duty::encode(*old_table) == table_text, kTable);
+  const auto record_text = read_file(folder + kRecord);
+  const auto old_record = migration::decode_record(record_text);
+  need(old_record && *old_record == record() && migration::encode(*old_record) == record_text, kRecord);
+  need(read_file(folder + kTelemetry) == telemetry(), kTelemetry);
+  return problems;
+}
+
+}  // namespace yokestream::golden
