--- a/include/lynxstand/admission.h
+++ b/include/yokestream/policy/admission_controller.h
@@ -21,16 +21,16 @@
 #include <variant>
 #include <vector>
 
-#include "lynxstand/learnt.h"
-#include "lynxstand/settings.h"
+#include "yokestream/policy/learned_state.h"
+#include "yokestream/policy/settings.h"
 
-namespace lynxstand {
+namespace yokestream::policy {
 
 // ---------------------------------------------------------------- events
 
 // Sets of engines, by the slots that the list gives them.
-inline constexpr std::size_t kMostSlots = 1024;
-using EngineSet = std::bitset<kMostSlots>;
+inline constexpr std::size_t kMaxEngineSlots = 1024;
+using EngineSet = std::bitset<kMaxEngineSlots>;
 
 enum class EngineState { up, draining, gone };
 struct EngineEntry {
@@ -40,25 +40,25 @@
   CellId cell{};
   EngineState state = EngineState::up;
   double weight = 1;
-  std::optional<Time> started;  // its last start, unless long ago
-  std::uint32_t slot = 0;       // in sets of engines; kMostSlots or more: in none
+  std::optional<Time> start_time;  // its last start, unless long ago
+  std::uint32_t slot = 0;          // in sets of engines; kMostSlots or more: in none
 };
-enum class ListKind { changes, full, remembered, failed };
+enum class EngineListKind { delta, full, cached, failed };
 struct EngineList {
-  ListKind kind = ListKind::full;
+  EngineListKind kind = EngineListKind::full;
   std::vector<EngineEntry> entries;
 };
 struct QueryArrived {
   QueryId query{};
-  ClassId cls{};
+  ClassId query_class{};
   TenantId tenant{};
-  TableGroupId tables{};
+  TableGroupId table_group{};
   std::optional<OrderKey> order_key;
   double memory_mb = 0;          // 0: not told
   std::optional<Duration> work;  // all its threads' work as one thread's time, as told
   Duration time_left{};
-  bool repeat = false;
-  std::optional<EngineSet> eligible;  // it may go to these alone; nullopt: to any
+  bool is_retry = false;
+  std::optional<EngineSet> eligible_engines;  // it may go to these alone; nullopt: to any
 };
 enum class Outcome {
   served,
@@ -72,88 +72,88 @@
 };
 struct AttemptEnded {
   QueryId query{};
-  AttemptNo attempt{};
+  AttemptNumber attempt{};
   EngineId engine;
   Outcome outcome = Outcome::served;
-  Duration took{};
-  bool finished = false;           // the query has its final answer
-  std::vector<double> report;      // as Settings::report_fields; empty: none
-  std::optional<Duration> work{};  // served, where answers tell it: what it took, as one thread's time
-  double memory_mb = 0;            // the same: what it needed
-};
-enum class Note { progress, spills, waits_for_memory, waits_for_load };
-struct AttemptNote {
+  Duration elapsed{};
+  bool query_finished = false;      // the query has its final answer
+  std::vector<double> load_report;  // as Settings::report_fields; empty: none
+  std::optional<Duration> work{};   // served, where answers tell it: what it took, as one thread's time
+  double memory_mb = 0;             // the same: what it needed
+};
+enum class ProgressKind { progress, spilling, waiting_for_memory, waiting_for_table_group };
+struct AttemptProgress {
   QueryId query{};
-  AttemptNo attempt{};
+  AttemptNumber attempt{};
   EngineId engine;
-  Note note = Note::progress;
+  ProgressKind kind = ProgressKind::progress;
   double value = 0;  // progress: share done; spills: MB missing
 };
-struct AnswerStarted {
+struct ResponseStarted {
   QueryId query{};
-  AttemptNo attempt{};
+  AttemptNumber attempt{};
   EngineId engine;
 };
-struct ClientLeft {
+struct ClientDisconnected {
   QueryId query{};
 };
 struct ProbeEnded {
   EngineId engine;
   Outcome outcome = Outcome::served;
-  Duration took{};
-  std::vector<double> report;
+  Duration elapsed{};
+  std::vector<double> load_report;
 };
 struct PeerMessage {
-  FrontId from{};
+  ManagerId sender{};
   std::string payload;
 };
-struct EligibleNow {  // of a query that was told of; what is out goes on. To none: it is given up
+struct EligibilityChanged {  // of a query that was told of; what is out goes on. To none: it is given up
   QueryId query{};
-  std::optional<EngineSet> eligible;
+  std::optional<EngineSet> eligible_engines;
 };
-struct Woken {
+struct TimerFired {
   std::uint64_t token = 0;
 };
-using Event = std::variant<EngineList, QueryArrived, AttemptEnded, AttemptNote, AnswerStarted, ClientLeft,
-                           ProbeEnded, PeerMessage, EligibleNow, Woken>;
+using Event = std::variant<EngineList, QueryArrived, AttemptEnded, AttemptProgress, ResponseStarted,
+                           ClientDisconnected, ProbeEnded, PeerMessage, EligibilityChanged, TimerFired>;
 
 // ---------------------------------------------------------------- actions
 
 struct Send {
   QueryId query{};
   EngineId engine;
-  Duration time_out{};  // 0: until the client gives up
+  Duration timeout{};  // 0: until the client gives up
 };
 struct Cancel {
   QueryId query{};
-  AttemptNo attempt{};
+  AttemptNumber attempt{};
 };
-struct Refuse {  // final: trying again is harmless
+struct Reject {  // final: trying again is harmless
   QueryId query{};
-  Duration come_back_after{};  // 0: no advice
+  Duration retry_after{};  // 0: no advice
 };
 struct Fail {  // final: promises nothing
   QueryId query{};
 };
-struct SetTerms {  // for the query's next Send; the priority also for attempts that are out
+struct SetExecutionTerms {  // for the query's next Send; the priority also for attempts that are out
   QueryId query{};
-  double memory_mb = 0;  // 0: the engine's choice
+  double memory_grant_mb = 0;  // 0: the engine's choice
   std::uint32_t priority = 1;
 };
 struct Probe {
   EngineId engine;
 };
-struct TellPeers {
+struct BroadcastToPeers {
   std::string payload;  // to every other front
 };
-struct FollowList {};  // ask to be told of changes to the engine list
-struct FetchList {};   // ask for the whole list once
-struct WakeAfter {
-  Duration after{};
+struct WatchEngineList {};  // ask to be told of changes to the engine list
+struct FetchEngineList {};  // ask for the whole list once
+struct StartTimer {
+  Duration delay{};
   std::uint64_t token = 0;
 };
-using Action =
-    std::variant<Send, Cancel, Refuse, Fail, SetTerms, Probe, TellPeers, FollowList, FetchList, WakeAfter>;
+using Action = std::variant<Send, Cancel, Reject, Fail, SetExecutionTerms, Probe, BroadcastToPeers,
+                            WatchEngineList, FetchEngineList, StartTimer>;
 
 class AdmissionController {
  public:
@@ -166,21 +166,21 @@
   // call.
   void handle(Time now, const Event& event, std::vector<Action>& actions);
   // Engines that the list names and that get no query for now: they drain, are shunned, or were full.
-  std::size_t avoided() const;
+  std::size_t unavailable_engines() const;
 
   // What it has learnt so far; and what another one had learnt `age` ago, on the same clock, taken over
   // before the first event. False, and nothing changes: it does not fit the settings (another number of
   // classes or kinds, a number that is none), or events have come. An engine that was started since begins
   // with its kind's weights alone.
-  Learnt learnt() const;
-  bool take_over(const Learnt& learnt, Duration age);
+  LearnedState learned_state() const;
+  bool restore(const LearnedState& learnt, Duration age);
   // From now on this front's part of the load is taken as one over `now_there` at least (1 or more, else
   // nothing is defined); until then that is Settings::fronts. For fronts that come and go.
-  void count_fronts(double now_there);
+  void set_manager_count(double now_there);
 
  private:
   struct Impl;
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace lynxstand
+}  // namespace yokestream::policy
--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -21,7 +21,7 @@
   explicit Desk(const config::Config& config) : config_(config), names_(config.fleet.prefix) {
     if (!config.fleet.on) throw config::ConfigError("fleet.on", "the fleet shares no store");
   }
-  const duty::Names& names() const { return names_; }
+  const coordination::Names& names() const { return names_; }
 
   store::Done ask(const store::Request& request) {
     std::string why;
@@ -62,7 +62,7 @@
 
  private:
   const config::Config& config_;
-  const duty::Names names_;
+  const coordination::Names names_;
 };
 
 int propose(const Files& files, const std::string& path) {
@@ -110,9 +110,9 @@
 int tell_status(const Files& files) {
   const auto both = operator_file::read_both(files.config, files.operators);
   Desk desk(both.config);
-  std::map<std::string, duty::Fact> living;
+  std::map<std::string, coordination::Fact> living;
   for (const auto& [session, text] : desk.all(desk.names().alive()))
-    living[session] = duty::decode_fact(text).value_or(duty::Fact{});
+    living[session] = coordination::decode_fact(text).value_or(coordination::Fact{});
   std::cout << migration::status(desk.record(), living, migration::Mover::kName,
                                  desk.all(desk.names().asks()))
             << std::flush;
--- a/src/cli/log.cpp
+++ b/src/cli/log.cpp
@@ -42,19 +42,19 @@
   return std::string(line.substr(0, end));
 }
 
-void Log::note(std::string_view line) {
+void Log::write(std::string_view line) {
   const std::lock_guard lock(mutex_);
   const auto now = std::chrono::steady_clock::now();
   std::string name = kind_of(line);
   if (kinds_.size() >= kMostKinds && !kinds_.count(name)) name = "others";
   Kind& kind = kinds_[name];
   if (now - kind.since >= std::chrono::seconds(1)) {
-    if (kind.left_out > 0) write(name + "... and " + std::to_string(kind.left_out) + " more such lines");
+    if (kind.left_out > 0) emit(name + "... and " + std::to_string(kind.left_out) + " more such lines");
     kind = Kind{now, 0, 0};
   }
-  ++kind.lines <= lines_per_kind_ ? write(line) : void(++kind.left_out);
+  ++kind.lines <= lines_per_kind_ ? emit(line) : void(++kind.left_out);
 }
 
-void Log::write(std::string_view line) { json_ ? logger_->info(quoted(line)) : logger_->info(line); }
+void Log::emit(std::string_view line) { json_ ? logger_->info(quoted(line)) : logger_->info(line); }
 
 }  // namespace yokestream::cli
--- a/src/cli/log.h
+++ b/src/cli/log.h
@@ -14,15 +14,15 @@
 #include <string>
 #include <string_view>
 
-#include "manager/ports.h"
+#include "dispatch/ports.h"
 #include "operator/operator_file.h"
 
 namespace yokestream::cli {
 
-class Log : public manager::Log {
+class Log : public dispatch::Log {
  public:
   explicit Log(const operator_file::LogSettings& settings);
-  void note(std::string_view line) override;
+  void write(std::string_view line) override;
   void configure(const operator_file::LogSettings& settings);
 
   static std::string kind_of(std::string_view line);
@@ -34,7 +34,7 @@
   };
   static constexpr std::size_t kMostKinds = 64;
 
-  void write(std::string_view line);  // under the lock
+  void emit(std::string_view line);  // under the lock
 
   std::mutex mutex_;
   std::shared_ptr<spdlog::logger> logger_;
--- a/src/cli/plan.cpp
+++ b/src/cli/plan.cpp
@@ -17,7 +17,7 @@
   planner::Question question;
   question.cores = cores, question.use = use;
   question.teams = both.operators.queues.teams;
-  for (const auto& cls : both.config.settings.classes) question.worth.push_back(cls.worth);
+  for (const auto& cls : both.config.settings.classes) question.worth.push_back(cls.priority_weight);
   try {
     question.traffic = planner::read_expected(text, both.config.real.tenants, both.config.real.classes,
                                               both.operators.queues.team_of);
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -44,15 +44,15 @@
 
 // A bad new file changes nothing: what was good so far goes on. `fleet`: what this process began with. Its
 // session, its areas and its place in the store hang on it, so it is not changed under them.
-void reload(const Files& files, const duty::Settings& fleet, net::Server& server, Log& log) {
+void reload(const Files& files, const coordination::Settings& fleet, net::Server& server, Log& log) {
   try {
     const auto both = operator_file::read_both(files.config, files.operators);
     server.reload(both.config);
     log.configure(both.operators.log);
-    log.note("took in the new configuration");
-    if (both.config.fleet != fleet) log.note("fleet: it stays as it was until a restart");
+    log.write("took in the new configuration");
+    if (both.config.fleet != fleet) log.write("fleet: it stays as it was until a restart");
   } catch (const config::ConfigError& problem) {
-    log.note(std::string("the new configuration is not taken: ") + problem.what());
+    log.write(std::string("the new configuration is not taken: ") + problem.what());
   }
 }
 
@@ -69,17 +69,17 @@
   Log log(both.operators.log);
   net::Server server(both.config, log);
   const auto management = server.management();
-  log.note(both.config.name + " serves on " + to_string(server.endpoint()) +
-           (both.config.door.on ? " with the door on" : "") +
-           (management ? ", operators on " + to_string(*management) : ""));
+  log.write(both.config.name + " serves on " + to_string(server.endpoint()) +
+            (both.config.door.on ? " with the door on" : "") +
+            (management ? ", operators on " + to_string(*management) : ""));
   for (int signal = SIGHUP; signal == SIGHUP;) {
     sigwait(&told, &signal);
     if (signal == SIGHUP) reload(files, both.config.fleet, server, log);
   }
-  log.note("told to end");
+  log.write("told to end");
   server.leave();
   server.wait();
-  log.note("ended");
+  log.write("ended");
   return 0;
 }
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -117,7 +117,7 @@
     throw ConfigError("settings." + problem.key(), problem.problem());
   }
   try {  // the module names what makes no sense to it
-    lynxstand::AdmissionController(config.settings, config.seed, lynxstand::Time{});
+    policy::AdmissionController(config.settings, config.seed, policy::Time{});
   } catch (const std::invalid_argument& problem) {
     throw ConfigError("settings", problem.what());
   }
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -8,8 +8,8 @@
 
 #include "config/members.h"
 #include "config/settings.h"
+#include "coordination/settings.h"
 #include "door/settings.h"
-#include "duty/settings.h"
 #include "queues/settings.h"
 
 namespace yokestream::config {
@@ -44,11 +44,11 @@
   std::optional<Endpoint> feed;        // none: the list of engines never changes
   std::uint64_t known_number = 0;
   std::vector<MembersEvent> known;
-  lynxstand::Settings settings;
+  policy::Settings settings;
   RealSettings real;
-  door::Settings door;      // of the operator file; off without one
-  queues::Settings queues;  // the same
-  duty::Settings fleet;     // the same
+  door::Settings door;           // of the operator file; off without one
+  queues::Settings queues;       // the same
+  coordination::Settings fleet;  // the same
 };
 
 // Nested JSON as pairs of path and text: objects and lists of objects by path, lists of scalars with commas.
--- a/src/config/members.cpp
+++ b/src/config/members.cpp
@@ -36,10 +36,10 @@
   return value.asUInt64();
 }
 
-lynxstand::EngineState state_of(const std::string& word, const std::string& path) {
-  if (word == "up") return lynxstand::EngineState::up;
-  if (word == "draining") return lynxstand::EngineState::draining;
-  if (word == "removed") return lynxstand::EngineState::gone;
+policy::EngineState state_of(const std::string& word, const std::string& path) {
+  if (word == "up") return policy::EngineState::up;
+  if (word == "draining") return policy::EngineState::draining;
+  if (word == "removed") return policy::EngineState::gone;
   throw ConfigError(path + ".state", "unknown value '" + word + "'");
 }
 
--- a/src/config/members.h
+++ b/src/config/members.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "lynxstand/admission.h"
+#include "yokestream/policy/admission_controller.h"
 
 namespace yokestream::config {
 
@@ -26,7 +26,7 @@
   std::optional<Endpoint> endpoint;  // none: not told, as for one that is gone
   std::string zone, kind;
   std::uint64_t cell = 0;
-  lynxstand::EngineState state = lynxstand::EngineState::up;
+  policy::EngineState state = policy::EngineState::up;
   double weight = 1;
   std::int64_t boot_ms = 0;  // Unix time of its last start; 0: long ago
 };
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -8,7 +8,7 @@
 namespace yokestream::config {
 namespace {
 
-using namespace lynxstand;
+using namespace yokestream::policy;
 using std::string;
 using std::string_view;
 
@@ -111,37 +111,38 @@
   const Options& values_;
 };
 
-lynxstand::ClassSettings decode_class(const Reader& o, const string& at, std::size_t position) {
+policy::ClassSettings decode_class(const Reader& o, const string& at, std::size_t position) {
   ClassSettings c;
   c.name = o.word(at + "Name");
-  c.aim = o.time(at + "Promise");
-  c.aim_stretch = o.real(at + "AimStretch", 0);
+  c.latency_objective = o.time(at + "Promise");
+  c.latency_objective_stretch = o.real(at + "AimStretch", 0);
   o.word(at + "Deadline");
   c.deadline = o.time(at + "Deadline");
-  c.worth = o.real(at + "Worth", 1);
-  c.late_worth = o.real(at + "LateWorth", 0);
+  c.priority_weight = o.real(at + "Worth", 1);
+  c.late_weight_ratio = o.real(at + "LateWorth", 0);
   if (const auto v = o.find(at + "Idempotency")) {
-    c.repeatable = choose<Repeatable>(at + "Idempotency", *v,
-                                      {{"idempotent", Repeatable::always},
-                                       {"deduplicated", Repeatable::keyed},
-                                       {"at_most_once", Repeatable::never}});
+    c.idempotency = choose<Idempotency>(at + "Idempotency", *v,
+                                        {{"idempotent", Idempotency::idempotent},
+                                         {"deduplicated", Idempotency::keyed},
+                                         {"at_most_once", Idempotency::non_idempotent}});
   }
   if (const auto v = o.find(at + "Group")) {
-    c.repeat_group = choose<RepeatGroup>(
-        at + "Group", *v,
-        {{"all", RepeatGroup::everywhere}, {"zone", RepeatGroup::zone}, {"cell", RepeatGroup::cell}});
+    c.deduplication_scope = choose<DeduplicationScope>(at + "Group", *v,
+                                                       {{"all", DeduplicationScope::everywhere},
+                                                        {"zone", DeduplicationScope::zone},
+                                                        {"cell", DeduplicationScope::cell}});
   }
-  c.repeat_window = o.time(at + "RepeatWindow");
-  c.in_order = o.flag(at + "FifoByKey");
+  c.deduplication_window = o.time(at + "RepeatWindow");
+  c.ordered = o.flag(at + "FifoByKey");
   c.streamed = o.flag(at + "Streamed");
-  c.only_zones = o.ids<ZoneId>(at + "ZonesOnly");
-  c.only_kinds = o.ids<KindId>(at + "HostTypesOpen");
+  c.allowed_zones = o.ids<ZoneId>(at + "ZonesOnly");
+  c.allowed_kinds = o.ids<KindId>(at + "HostTypesOpen");
   const auto threads = o.reals("FamilyInfo.Dop");
   if (position < threads.size()) c.threads = threads[position];
   const auto writes = o.flags("FamilyInfo.WritesTables");
-  if (position < writes.size()) c.loads_tables = writes[position];
+  if (position < writes.size()) c.locks_table_group = writes[position];
   const auto waits = o.flags("FamilyInfo.WaitsForLoads");
-  if (position < waits.size()) c.waits_for_loads = waits[position];
+  if (position < waits.size()) c.waits_for_table_group = waits[position];
   return c;
 }
 
@@ -171,29 +172,30 @@
     s.tenants.push_back({o.real(at + "Share", 0), o.real(at + "QuotaPerS", 0)});
   }
   s.zones = std::max<std::size_t>(1, o.list("Zones").size());
-  s.my_zone = ZoneId{static_cast<std::uint32_t>(o.natural("MyZone", 0))};
-  s.me = FrontId{static_cast<std::uint32_t>(o.natural("MyNumber", 0))};
-  s.fronts = static_cast<std::uint32_t>(o.natural("GroupSize", 1));
-  s.granularity = o.time("Granularity");
+  s.local_zone = ZoneId{static_cast<std::uint32_t>(o.natural("MyZone", 0))};
+  s.manager_id = ManagerId{static_cast<std::uint32_t>(o.natural("MyNumber", 0))};
+  s.manager_count = static_cast<std::uint32_t>(o.natural("GroupSize", 1));
+  s.time_granularity = o.time("Granularity");
   s.may_cancel = o.flag("Allowed.Cancel");
   s.may_probe = o.flag("Allowed.Probes");
   s.may_message = o.flag("Allowed.PeerMessages");
-  s.may_overlap = o.flag("Allowed.ParallelTries");
-  s.may_advise_wait = o.flag("Allowed.RetryAfter");
-  s.most_wait_advice = o.time("Allowed.MaxRetryAfter");
-  s.most_attempts = static_cast<std::uint32_t>(o.natural("Allowed.SendCap", 1));
+  s.may_hedge = o.flag("Allowed.ParallelTries");
+  s.may_send_retry_after = o.flag("Allowed.RetryAfter");
+  s.max_retry_after = o.time("Allowed.MaxRetryAfter");
+  s.max_attempts = static_cast<std::uint32_t>(o.natural("Allowed.SendCap", 1));
   if (const auto v = o.find("Discovery")) {
-    s.list_source = choose<ListSource>(
-        "Discovery", *v, {{"pushed", ListSource::pushed}, {"on_request", ListSource::on_request}});
+    s.engine_list_source = choose<EngineListSource>(
+        "Discovery", *v,
+        {{"pushed", EngineListSource::pushed}, {"on_request", EngineListSource::on_request}});
   }
   if (const auto v = o.find("Report.How")) {
-    s.reports = choose<ReportSource>("Report.How", *v,
-                                     {{"piggyback", ReportSource::answers},
-                                      {"pull", ReportSource::probes},
-                                      {"silent", ReportSource::none}});
+    s.load_report_source = choose<LoadReportSource>("Report.How", *v,
+                                                    {{"piggyback", LoadReportSource::answers},
+                                                     {"pull", LoadReportSource::probes},
+                                                     {"silent", LoadReportSource::none}});
   }
   for (const auto name : o.list("Report.Fields")) {
-    using F = ReportField;
+    using F = LoadReportField;
     constexpr std::array<std::pair<string_view, F>, 8> fields{{{"inflight", F::inflight},
                                                                {"queue", F::queue},
                                                                {"util", F::cpu},
@@ -206,31 +208,31 @@
     for (const auto& [word, meaning] : fields) {
       if (word == name) field = meaning;
     }
-    s.report_fields.push_back(field);
+    s.load_report_fields.push_back(field);
   }
-  s.grants = o.flag("FamilyInfo.Grants");
-  s.priorities = o.flag("FamilyInfo.LanesCount");
-  s.most_grant = o.real("FamilyInfo.MaxGrantShare", 1);
+  s.memory_grants = o.flag("FamilyInfo.Grants");
+  s.query_priorities = o.flag("FamilyInfo.LanesCount");
+  s.max_memory_grant_ratio = o.real("FamilyInfo.MaxGrantShare", 1);
   if (const auto v = o.find("FamilyInfo.OutOfMemory")) {
-    s.memory_short = choose<MemoryShort>(
+    s.memory_shortage = choose<MemoryShortage>(
         "FamilyInfo.OutOfMemory", *v,
-        {{"queue", MemoryShort::wait}, {"trim", MemoryShort::shrink}, {"swap", MemoryShort::page}});
+        {{"queue", MemoryShortage::wait}, {"trim", MemoryShortage::shrink}, {"swap", MemoryShortage::page}});
   }
-  s.note_every = o.time("FamilyInfo.NotePeriod");
-  s.tells_cost = o.flag("FamilyInfo.Bills");
-  s.over_share_worth = o.real("OverShareWorth", 1);
+  s.progress_interval = o.time("FamilyInfo.NotePeriod");
+  s.reports_cost = o.flag("FamilyInfo.Bills");
+  s.over_quota_weight_ratio = o.real("OverShareWorth", 1);
   s.answer_slack = o.time("Safety.AnswerSlack");
   s.drain_grace = o.time("Safety.DrainGrace");
-  s.start_capacity = o.real("Safety.StartCapacity", 1);
-  s.cold = o.time("Safety.Cold");
-  s.tip_multiple = o.real("Safety.TipMultiple", 0);
-  s.tip_after = o.time("Safety.TipAfter");
-  s.ask_within = o.time("Safety.AskWithin");
+  s.slow_start_initial_ratio = o.real("Safety.StartCapacity", 1);
+  s.slow_start_window = o.time("Safety.Cold");
+  s.cold_overload_multiple = o.real("Safety.TipMultiple", 0);
+  s.cold_overload_window = o.time("Safety.TipAfter");
+  s.engine_list_request_deadline = o.time("Safety.AskWithin");
   s.order_pause = o.time("Safety.OrderPause");
-  s.extra_limited = o.find("Safety.RatioSpan").has_value();
-  s.extra_free = o.real("Safety.MinExtra", 0);
-  s.extra_ratio = o.real("Safety.ExtraRatio", 0);
-  s.extra_span = o.time("Safety.RatioSpan");
+  s.retry_budget_enabled = o.find("Safety.RatioSpan").has_value();
+  s.retry_budget_min_retries = o.real("Safety.MinExtra", 0);
+  s.retry_budget_ratio = o.real("Safety.ExtraRatio", 0);
+  s.retry_budget_window = o.time("Safety.RatioSpan");
   return s;
 }
 
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-#include "lynxstand/admission.h"
+#include "yokestream/policy/admission_controller.h"
 
 namespace yokestream::config {
 
@@ -26,16 +26,16 @@
 
 using Options = std::map<std::string, std::string, std::less<>>;
 
-lynxstand::Settings decode_settings(const Options& options);  // throws ConfigError
+policy::Settings decode_settings(const Options& options);  // throws ConfigError
 
 // What only a real workload manager needs of the same settings.
 struct RealSettings {
   std::vector<std::string> classes, tenants, kinds, zones, report_fields;  // names by position
-  lynxstand::Duration dial_time{};                // a connection not up by then counts as unreachable
-  lynxstand::Duration idle_close{};               // engines close what has been idle for this long; 0: never
-  std::vector<lynxstand::Duration> deadlines;     // by class: a client's whole wait
-  lynxstand::Duration longest_deadline() const {  // 0: there is no class
-    return deadlines.empty() ? lynxstand::Duration{} : *std::max_element(deadlines.begin(), deadlines.end());
+  policy::Duration dial_time{};                // a connection not up by then counts as unreachable
+  policy::Duration idle_close{};               // engines close what has been idle for this long; 0: never
+  std::vector<policy::Duration> deadlines;     // by class: a client's whole wait
+  policy::Duration longest_deadline() const {  // 0: there is no class
+    return deadlines.empty() ? policy::Duration{} : *std::max_element(deadlines.begin(), deadlines.end());
   }
   std::size_t streams_per_connection = 1;
   std::size_t open_cap = 0;   // requests that may be open at once; 0: no cap
--- a/src/duty/duty.h
+++ b/src/coordination/duty.h
@@ -1,8 +1,8 @@
 // Further work that the fleet's owner does, each with one state of its own in the store: what the owner has
 // decided, read by all processes and written by the owner alone, in its term and over the state that it read.
 //
-// Pure, like all of src/duty; the thread that runs duty::Fleet calls. A process keeps one of each, whether it
-// is the owner or not.
+// Pure, like all of src/duty; the thread that runs coordination::Fleet calls. A process keeps one of each,
+// whether it is the owner or not.
 #pragma once
 
 #include <map>
@@ -11,10 +11,10 @@
 #include <string_view>
 #include <vector>
 
-#include "duty/names.h"
-#include "duty/settings.h"
+#include "coordination/names.h"
+#include "coordination/settings.h"
 
-namespace yokestream::duty {
+namespace yokestream::coordination {
 
 // What the owner sees when it looks at the fleet.
 struct Looked {
@@ -42,4 +42,4 @@
   virtual bool busy() const = 0;
 };
 
-}  // namespace yokestream::duty
+}  // namespace yokestream::coordination
--- a/src/duty/election.cpp
+++ b/src/coordination/election.cpp
@@ -1,10 +1,10 @@
-#include "duty/election.h"
+#include "coordination/election.h"
 
 #include <algorithm>
 
-#include "duty/names.h"
+#include "coordination/names.h"
 
-namespace yokestream::duty {
+namespace yokestream::coordination {
 void Election::stand(store::LeaseId lease, const std::string& name) {
   if (lease == lease_) return;
   lease_ = lease, name_ = name, own_ = line_ + session_name(lease);
@@ -109,4 +109,4 @@
   return store::Watch{ahead_, {}, seen_ + 1};
 }
 
-}  // namespace yokestream::duty
+}  // namespace yokestream::coordination
--- a/src/duty/election.h
+++ b/src/coordination/election.h
@@ -11,10 +11,10 @@
 #include <optional>
 #include <string>
 
-#include "duty/settings.h"
+#include "coordination/settings.h"
 #include "store/values.h"
 
-namespace yokestream::duty {
+namespace yokestream::coordination {
 
 class Election {
  public:
@@ -60,4 +60,4 @@
   Time line_read_{}, again_ = Time::min();
 };
 
-}  // namespace yokestream::duty
+}  // namespace yokestream::coordination
--- a/src/duty/fleet.cpp
+++ b/src/coordination/fleet.cpp
@@ -1,9 +1,9 @@
-#include "duty/fleet.h"
+#include "coordination/fleet.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace yokestream::duty {
+namespace yokestream::coordination {
 namespace {
 
 constexpr Duration kTellEvery = std::chrono::seconds(5);  // of traffic, at most so often
@@ -177,4 +177,4 @@
   if (session_.lease() == store::LeaseId::none || !trouble_.empty()) lease_over_ = true;
 }
 
-}  // namespace yokestream::duty
+}  // namespace yokestream::coordination
--- a/src/duty/fleet.h
+++ b/src/coordination/fleet.h
@@ -10,14 +10,14 @@
 #include <optional>
 #include <string>
 
-#include "duty/duty.h"
-#include "duty/election.h"
-#include "duty/names.h"
-#include "duty/session.h"
-#include "duty/shares.h"
-#include "duty/view.h"
+#include "coordination/duty.h"
+#include "coordination/election.h"
+#include "coordination/names.h"
+#include "coordination/session.h"
+#include "coordination/shares.h"
+#include "coordination/view.h"
 
-namespace yokestream::duty {
+namespace yokestream::coordination {
 
 class Fleet {
  public:
@@ -114,4 +114,4 @@
   std::string trouble_;
 };
 
-}  // namespace yokestream::duty
+}  // namespace yokestream::coordination
--- a/src/duty/fleet_replies.cpp
+++ b/src/coordination/fleet_replies.cpp
@@ -2,9 +2,9 @@
 #include <algorithm>
 #include <utility>
 
-#include "duty/fleet.h"
+#include "coordination/fleet.h"
 
-namespace yokestream::duty {
+namespace yokestream::coordination {
 namespace {
 
 constexpr Duration kLookAgain = std::chrono::milliseconds(1000);  // while acknowledgements are missing
@@ -186,4 +186,4 @@
   if (slot == Slot::ahead) election_.ahead_gone();
 }
 
-}  // namespace yokestream::duty
+}  // namespace yokestream::coordination
--- a/src/duty/names.h
+++ b/src/coordination/names.h
@@ -16,10 +16,10 @@
 #include <string_view>
 #include <vector>
 
-#include "duty/settings.h"
+#include "coordination/settings.h"
 #include "store/values.h"
 
-namespace yokestream::duty {
+namespace yokestream::coordination {
 
 inline constexpr std::string_view kFormat = "1";
 inline constexpr std::size_t kMostFact = 4096;
@@ -52,4 +52,4 @@
 std::string encode(const Fact& fact);
 std::optional<Fact> decode_fact(std::string_view text);  // nullopt: it makes no sense
 
-}  // namespace yokestream::duty
+}  // namespace yokestream::coordination
--- a/src/duty/records.cpp
+++ b/src/coordination/records.cpp
@@ -3,9 +3,9 @@
 #include <cstdio>
 
 #include "base/json.h"
-#include "duty/shares.h"
+#include "coordination/shares.h"
 
-namespace yokestream::duty {
+namespace yokestream::coordination {
 namespace {
 
 constexpr std::size_t kMostName = 256;
@@ -101,4 +101,4 @@
   return Table{(*v)["epoch"].asInt64(), (*v)["term"].asInt64(), std::move(*parts)};
 }
 
-}  // namespace yokestream::duty
+}  // namespace yokestream::coordination
--- a/src/duty/session.cpp
+++ b/src/coordination/session.cpp
@@ -1,8 +1,8 @@
-#include "duty/session.h"
+#include "coordination/session.h"
 
 #include <algorithm>
 
-namespace yokestream::duty {
+namespace yokestream::coordination {
 namespace {
 
 Duration whole_seconds(Duration d) { return std::chrono::ceil<std::chrono::seconds>(d); }
@@ -40,4 +40,4 @@
   until_ = sent_ + std::chrono::duration_cast<Duration>(ttl * (1 - settings_.drift));
 }
 
-}  // namespace yokestream::duty
+}  // namespace yokestream::coordination
--- a/src/duty/session.h
+++ b/src/coordination/session.h
@@ -7,10 +7,10 @@
 
 #include <optional>
 
-#include "duty/settings.h"
+#include "coordination/settings.h"
 #include "store/values.h"
 
-namespace yokestream::duty {
+namespace yokestream::coordination {
 
 class Session {
  public:
@@ -36,4 +36,4 @@
   bool out_ = false;
 };
 
-}  // namespace yokestream::duty
+}  // namespace yokestream::coordination
--- a/src/duty/settings.h
+++ b/src/coordination/settings.h
@@ -5,12 +5,12 @@
 #include <vector>
 
 #include "config/members.h"
-#include "lynxstand/settings.h"
+#include "yokestream/policy/settings.h"
 
-namespace yokestream::duty {
+namespace yokestream::coordination {
 
-using lynxstand::Duration;
-using lynxstand::Time;
+using policy::Duration;
+using policy::Time;
 
 // What a process may count on until some time, it counts on for so much less: its core looks at each turn,
 // 200 ms apart at most.
@@ -32,7 +32,7 @@
 
   // Areas that a duty may touch (the number that names a table group); none else is ever touched. They are
   // closed where this process's session is not held.
-  std::vector<lynxstand::TableGroupId> areas;
+  std::vector<policy::TableGroupId> areas;
 
   // For tests alone: guards that are left out, so that the checker is seen to find what they guard against.
   enum Guard : unsigned { kTerm = 1, kAcknowledged = 2, kExpiry = 4, kFree = 8 };
@@ -40,4 +40,4 @@
   bool operator==(const Settings&) const = default;
 };
 
-}  // namespace yokestream::duty
+}  // namespace yokestream::coordination
--- a/src/duty/shares.cpp
+++ b/src/coordination/shares.cpp
@@ -1,4 +1,4 @@
-#include "duty/shares.h"
+#include "coordination/shares.h"
 
 #include <json/json.h>
 
@@ -7,7 +7,7 @@
 #include <memory>
 #include <set>
 
-namespace yokestream::duty {
+namespace yokestream::coordination {
 namespace {
 
 constexpr double kWorthTelling = 0.05;  // a part that would change by less stays as it is
@@ -82,4 +82,4 @@
   return out;
 }
 
-}  // namespace yokestream::duty
+}  // namespace yokestream::coordination
--- a/src/duty/shares.h
+++ b/src/coordination/shares.h
@@ -16,9 +16,9 @@
 #include <string>
 #include <string_view>
 
-#include "duty/names.h"
+#include "coordination/names.h"
 
-namespace yokestream::duty {
+namespace yokestream::coordination {
 
 using Part = std::int64_t;
 inline constexpr Part kWhole = 1'000'000'000;
@@ -54,4 +54,4 @@
   const unsigned without_;
 };
 
-}  // namespace yokestream::duty
+}  // namespace yokestream::coordination
--- a/src/duty/view.cpp
+++ b/src/coordination/view.cpp
@@ -1,10 +1,10 @@
-#include "duty/view.h"
+#include "coordination/view.h"
 
 #include <algorithm>
 
-#include "duty/names.h"
+#include "coordination/names.h"
 
-namespace yokestream::duty {
+namespace yokestream::coordination {
 
 void View::took(const store::Done& done) {
   keys_.clear();
@@ -34,4 +34,4 @@
   return it == keys_.end() ? nullptr : &it->second;
 }
 
-}  // namespace yokestream::duty
+}  // namespace yokestream::coordination
--- a/src/duty/view.h
+++ b/src/coordination/view.h
@@ -10,7 +10,7 @@
 
 #include "store/values.h"
 
-namespace yokestream::duty {
+namespace yokestream::coordination {
 
 class View {
  public:
@@ -31,4 +31,4 @@
   store::Revision revision_ = 0;
 };
 
-}  // namespace yokestream::duty
+}  // namespace yokestream::coordination
--- a/src/manager/attempts.cpp
+++ b/src/dispatch/attempts.cpp
@@ -8,14 +8,14 @@
 #include <algorithm>
 #include <utility>
 
-#include "manager/manager.h"
+#include "dispatch/dispatcher.h"
 
-namespace yokestream::manager {
+namespace yokestream::dispatch {
 namespace {
 
-using lynxstand::AttemptEnded;
-using lynxstand::Outcome;
-using lynxstand::QueryId;
+using policy::AttemptEnded;
+using policy::Outcome;
+using policy::QueryId;
 using std::chrono::milliseconds;
 
 // Guards against two attempts at once: a stop and the next send leave on two connections and may overtake
@@ -28,17 +28,18 @@
 }  // namespace
 
 // Ends an attempt from this side, now: what still comes of it is dropped.
-void Manager::give_up_attempt(QueryId query, Request& request, Outcome outcome) {
+void Dispatcher::give_up_attempt(QueryId query, Request& request, Outcome outcome) {
   Attempt& attempt = *request.attempt;
   const bool unwritten = take_back(attempt);
   if (attempt.phase == Phase::fetching)
-    engines_.end(attempt.link, request.told.request_id);  // it ran: only its pages are left to give up
+    engines_.release_result(attempt.link,
+                            request.told.request_id);  // it ran: only its pages are left to give up
   else if (!unwritten && attempt.phase != Phase::stopping)
-    engines_.stop(attempt.link, request.told.request_id);
+    engines_.cancel(attempt.link, request.told.request_id);
   end_attempt(query, request, outcome);
 }
 
-void Manager::end_attempt(QueryId query, Request& request, Outcome outcome) {
+void Dispatcher::end_attempt(QueryId query, Request& request, Outcome outcome) {
   const Attempt attempt = std::move(*request.attempt);
   request.attempt.reset();
   links_.release(now_, attempt.link, request.told.request_id);
@@ -48,12 +49,12 @@
   end.attempt = attempt.number;
   end.engine.name = attempt.uid;
   end.outcome = outcome;
-  end.took = outcome == Outcome::served ? attempt.took : now_ - attempt.sent;
-  end.finished = request.answered;
-  end.report = attempt.end.report;
-  if (outcome == Outcome::served && attempt.end.elapsed_ms) {
-    end.work = from_ms(*attempt.end.elapsed_ms);
-    end.memory_mb = attempt.end.rss_mb;
+  end.elapsed = outcome == Outcome::served ? attempt.took : now_ - attempt.sent;
+  end.query_finished = request.answered;
+  end.load_report = attempt.end.load_report;
+  if (outcome == Outcome::served && attempt.end.work_ms) {
+    end.work = from_ms(*attempt.end.work_ms);
+    end.memory_mb = attempt.end.memory_mb;
   }
   request.past.ran |=
       outcome != Outcome::never_sent && outcome != Outcome::unreachable && outcome != Outcome::shed;
@@ -63,7 +64,7 @@
   forget_if_done(requests_.find(query));
 }
 
-void Manager::on(const ListChanged& changed) {
+void Dispatcher::on(const EngineListChanged& changed) {
   tell(take_list(changed.event, false));
   tell_routes();
   tell_stations_of_engines();
@@ -71,7 +72,7 @@
   // written late.
   std::vector<QueryId> out;
   for (const auto& [query, request] : requests_) {
-    if (request.attempt && !directory_.usable(request.attempt->uid)) out.push_back(query);
+    if (request.attempt && !directory_.find_available(request.attempt->uid)) out.push_back(query);
   }
   for (const QueryId query : out) {
     Request& request = requests_.at(query);
@@ -80,14 +81,14 @@
 }
 
 // The wait for an attempt ends with the client's; the module then words the final answer.
-void Manager::due(const Deadline& deadline) {
+void Dispatcher::due(const Deadline& deadline) {
   const auto it = requests_.find(deadline.query);
   it->second.deadline = timers_.end();
   if (!it->second.attempt) return;
   give_up_attempt(deadline.query, it->second, Outcome::timed_out);
 }
 
-void Manager::due(const AttemptTimer& timer) {
+void Dispatcher::due(const AttemptTimer& timer) {
   const auto it = requests_.find(timer.query);
   if (it == requests_.end() || !it->second.attempt || it->second.attempt->tag != timer.tag) return;
   Attempt& attempt = *it->second.attempt;
@@ -97,16 +98,16 @@
   }
   if (timer.outcome == Outcome::timed_out)
     return give_up_attempt(timer.query, it->second, Outcome::timed_out);
-  const LinkId link = attempt.link;
+  const EngineConnectionId link = attempt.link;
   if (links_.find(link)->heard > timer.since) {  // only slow: closing it would cost all that runs there
     at(now_ + kStopConfirmed, AttemptTimer{timer.query, timer.tag, timer.outcome, now_});
     return;
   }
   engines_.close(link);
-  on(LinkEnded{link, "a stop was not confirmed"});
+  on(EngineDisconnected{link, "a stop was not confirmed"});
 }
 
-void Manager::act(const lynxstand::Cancel& cancel) {
+void Dispatcher::act(const policy::Cancel& cancel) {
   const auto it = requests_.find(cancel.query);
   if (it == requests_.end() || !it->second.attempt) return;
   Request& request = it->second;
@@ -119,12 +120,12 @@
   if (take_back(attempt)) return end_attempt(cancel.query, request, Outcome::never_sent);
   if (request.answered) return give_up_attempt(cancel.query, request, Outcome::cancelled);
   attempt.phase = Phase::stopping;
-  engines_.stop(attempt.link, request.told.request_id);
-  engines_.hello(attempt.link, stop_tag(attempt.tag));
+  engines_.cancel(attempt.link, request.told.request_id);
+  engines_.ping(attempt.link, cancel_confirmation_tag(attempt.tag));
   at(now_ + kStopConfirmed, AttemptTimer{cancel.query, attempt.tag, Outcome::reset, now_});
 }
 
-void Manager::act(const lynxstand::SetTerms& terms) {
+void Dispatcher::act(const policy::SetExecutionTerms& terms) {
   const auto it = requests_.find(terms.query);
   if (it == requests_.end()) return;
   Request& request = it->second;
@@ -132,14 +133,14 @@
   if (!request.attempt || !changed) return;
   const auto band =
       queues_ ? queues_->wish(now_, terms.query, terms.priority) : std::optional(terms.priority);
-  if (band) engines_.nice(request.attempt->link, request.told.request_id, *band);
+  if (band) engines_.set_priority(request.attempt->link, request.told.request_id, *band);
 }
 
-void Manager::act(const lynxstand::WakeAfter& wake) { at(now_ + wake.after, Wake{wake.token}); }
+void Dispatcher::act(const policy::StartTimer& wake) { at(now_ + wake.delay, Wake{wake.token}); }
 
 // Engines are not probed here; a module that asks all the same is told so.
-void Manager::act(const lynxstand::Probe& probe) {
-  tell(lynxstand::ProbeEnded{probe.engine, Outcome::unreachable, {}, {}});
+void Dispatcher::act(const policy::Probe& probe) {
+  tell(policy::ProbeEnded{probe.engine, Outcome::unreachable, {}, {}});
 }
 
-}  // namespace yokestream::manager
+}  // namespace yokestream::dispatch
--- a/src/manager/budget.h
+++ b/src/dispatch/budget.h
@@ -6,7 +6,7 @@
 #include <cstddef>
 #include <utility>
 
-namespace yokestream::manager {
+namespace yokestream::dispatch {
 
 class Budget;
 
@@ -34,7 +34,7 @@
  public:
   explicit Budget(std::size_t bytes) : limit_(bytes) {}
   // Adds to what `held` holds already. False: there is not so much left, and nothing was taken.
-  bool take(Reservation& held, std::size_t bytes) {
+  bool try_reserve(Reservation& held, std::size_t bytes) {
     if (used_.fetch_add(bytes) + bytes > limit_ - std::min(limit_, aside_.load())) {
       used_ -= bytes;
       return false;
@@ -43,7 +43,7 @@
     held.bytes_ += bytes;
     return true;
   }
-  std::size_t used() const { return used_; }
+  std::size_t reserved() const { return used_; }
   // So much of it is another's for now; what is taken already stays.
   void set_aside(std::size_t bytes) { aside_ = bytes; }
 
@@ -57,4 +57,4 @@
   if (budget_) budget_->used_ -= bytes_;
 }
 
-}  // namespace yokestream::manager
+}  // namespace yokestream::dispatch
--- a/src/manager/sessions.cpp
+++ b/src/dispatch/client_sessions.cpp
@@ -1,21 +1,21 @@
-#include "manager/sessions.h"
+#include "dispatch/client_sessions.h"
 
 #include <algorithm>
 
-namespace yokestream::manager {
+namespace yokestream::dispatch {
 
-Sessions::Session* Sessions::find(SessionId id) {
+ClientSessions::Session* ClientSessions::find(SessionId id) {
   const auto it = sessions_.find(id);
   return it == sessions_.end() ? nullptr : &it->second;
 }
 
-const Sessions::Session* Sessions::find(SessionId id) const {
+const ClientSessions::Session* ClientSessions::find(SessionId id) const {
   const auto it = sessions_.find(id);
   return it == sessions_.end() ? nullptr : &it->second;
 }
 
 // Who was never served goes before who was, and then the one idle for longest.
-std::optional<SessionId> Sessions::victim() {
+std::optional<SessionId> ClientSessions::victim() {
   std::optional<SessionId> out;
   Session* least = nullptr;
   for (auto& [id, session] : sessions_) {
@@ -27,7 +27,7 @@
   return out;
 }
 
-std::optional<SessionId> Sessions::begin(Time now, SessionId id, std::uint64_t origin) {
+std::optional<SessionId> ClientSessions::begin(Time now, SessionId id, std::uint64_t origin) {
   const auto out = crowded() ? victim() : std::nullopt;
   Session& session = sessions_[id];
   session.origin = origin;
@@ -35,65 +35,65 @@
   return out;
 }
 
-std::uint64_t Sessions::origin(SessionId id) const {
+std::uint64_t ClientSessions::origin(SessionId id) const {
   const Session* session = find(id);
   return session ? session->origin : 0;
 }
 
-bool Sessions::may_open(SessionId id) const {
+bool ClientSessions::may_open(SessionId id) const {
   const Session* session = find(id);
   return session && session->open < (session->served   ? bounds_.open
                                      : session->blamed ? 1
                                                        : bounds_.open_at_first);
 }
 
-void Sessions::opened(Time now, SessionId id) {
+void ClientSessions::opened(Time now, SessionId id) {
   if (Session* session = find(id)) ++session->open, session->last = now;
 }
 
-void Sessions::closed(Time now, SessionId id) {
+void ClientSessions::closed(Time now, SessionId id) {
   if (Session* session = find(id)) --session->open, session->last = now;
 }
 
-bool Sessions::answered(Time now, SessionId id) {
+bool ClientSessions::answered(Time now, SessionId id) {
   Session* session = find(id);
   if (!session) return false;
   session->answered = true, session->last = now;
   return ++session->answers >= bounds_.unserved && !session->served && session->open == 0;
 }
 
-void Sessions::served(Time now, SessionId id) {
+void ClientSessions::served(Time now, SessionId id) {
   if (Session* session = find(id)) session->served = true;
   answered(now, id);
 }
 
-bool Sessions::proven(SessionId id) const {
+bool ClientSessions::proven(SessionId id) const {
   const Session* session = find(id);
   return session && session->served;
 }
 
-void Sessions::blame(Time now, SessionId id) {
+void ClientSessions::blame(Time now, SessionId id) {
   if (Session* session = find(id)) session->blamed = now;
 }
 
-bool Sessions::suspect(Time now, SessionId id) const {
+bool ClientSessions::suspect(Time now, SessionId id) const {
   const Session* session = find(id);
   return session && session->blamed && !session->served && now - *session->blamed < bounds_.suspicion;
 }
 
-bool Sessions::closing() const {
+bool ClientSessions::closing() const {
   return std::any_of(sessions_.begin(), sessions_.end(), [](const auto& s) { return s.second.closing; });
 }
 
-void Sessions::keep(SessionId id) {
+void ClientSessions::keep(SessionId id) {
   if (Session* session = find(id)) session->closing = false;
 }
 
-void Sessions::stall(SessionId id) {
+void ClientSessions::stall(SessionId id) {
   if (Session* session = find(id)) session->stalled = true;
 }
 
-std::vector<SessionId> Sessions::settled() {
+std::vector<SessionId> ClientSessions::settled() {
   std::vector<SessionId> out;
   for (auto& [id, session] : sessions_) {
     if (!session.stalled || session.open > 0 || session.closing) continue;
@@ -103,7 +103,7 @@
   return out;
 }
 
-std::vector<SessionId> Sessions::overdue(Time now, std::optional<Duration> spared) {
+std::vector<SessionId> ClientSessions::overdue(Time now, std::optional<Duration> spared) {
   std::vector<SessionId> out;
   for (auto& [id, session] : sessions_) {
     if (session.open > 0 || session.closing || session.stalled) continue;
@@ -119,4 +119,4 @@
   return out;
 }
 
-}  // namespace yokestream::manager
+}  // namespace yokestream::dispatch
--- a/src/manager/sessions.h
+++ b/src/dispatch/client_sessions.h
@@ -7,11 +7,11 @@
 #include <optional>
 #include <vector>
 
-#include "manager/ports.h"
+#include "dispatch/ports.h"
 
-namespace yokestream::manager {
+namespace yokestream::dispatch {
 
-class Sessions {
+class ClientSessions {
  public:
   struct Bounds {
     std::size_t sessions = 256;     // connections; from three quarters of them on, idle ones have to go
@@ -23,7 +23,7 @@
     std::size_t unserved = 64;  // answers to a client that was never served
     Duration fresh{};           // closing all: one that is new has so long to ask for something
   };
-  explicit Sessions(Bounds bounds) : bounds_(bounds) {}
+  explicit ClientSessions(Bounds bounds) : bounds_(bounds) {}
 
   // Returns the connection that has to make room for the new one, if one has to.
   std::optional<SessionId> begin(Time now, SessionId id, std::uint64_t origin = 0);
@@ -67,4 +67,4 @@
   std::map<SessionId, Session> sessions_;
 };
 
-}  // namespace yokestream::manager
+}  // namespace yokestream::dispatch
--- a/src/manager/dialing.cpp
+++ b/src/dispatch/dialing.cpp
@@ -6,14 +6,14 @@
 // engine, and is the same attempt when it is dialed again.
 #include <utility>
 
-#include "manager/manager.h"
+#include "dispatch/dispatcher.h"
 
-namespace yokestream::manager {
+namespace yokestream::dispatch {
 namespace {
 
-using lynxstand::AttemptEnded;
-using lynxstand::Outcome;
-using lynxstand::QueryId;
+using policy::AttemptEnded;
+using policy::Outcome;
+using policy::QueryId;
 using std::chrono::milliseconds;
 
 // A lack of descriptors, ports or links on this machine passes, and says nothing of the engine: the attempt
@@ -22,22 +22,22 @@
 
 }  // namespace
 
-void Manager::act(const lynxstand::Send& send) {
+void Dispatcher::act(const policy::Send& send) {
   const auto it = requests_.find(send.query);
   if (it == requests_.end()) return;
   Request& request = it->second;
-  const lynxstand::AttemptNo number{request.attempts++};
+  const policy::AttemptNumber number{request.attempts++};
   const auto not_sent = [&](Outcome outcome) {
     AttemptEnded end;
     end.query = send.query;
     end.attempt = number;
     end.engine = send.engine;
     end.outcome = outcome;
-    end.finished = request.answered;
+    end.query_finished = request.answered;
     tell(std::move(end));
   };
   if (request.answered || request.attempt) return not_sent(Outcome::never_sent);
-  const EngineRecord* engine = directory_.usable(send.engine.name);
+  const EngineRecord* engine = directory_.find_available(send.engine.name);
   if (!engine) return not_sent(Outcome::unreachable);
   // Guards the areas that a duty touches, where a table has come since the module chose.
   if (bars(route_of(request.told), send.engine.name)) return not_sent(Outcome::never_sent);
@@ -48,14 +48,14 @@
   attempt.sent = now_;
   attempt.dial_by = now_ + config_.real.dial_time;
   attempt.until = request.told.deadline;
-  if (send.time_out > Duration{} && now_ + send.time_out < attempt.until) {
-    attempt.until = now_ + send.time_out;
+  if (send.timeout > Duration{} && now_ + send.timeout < attempt.until) {
+    attempt.until = now_ + send.timeout;
     at(attempt.until, AttemptTimer{send.query, attempt.tag, Outcome::timed_out, now_});
   }
   request.attempt = std::move(attempt);
   // Guards the engines against work for nobody: its client may have gone while it waited, or while this
   // process stood still, and the word of it be on its way yet.
-  if (clients_.has_left(request.told.session)) {
+  if (clients_.has_disconnected(request.told.session)) {
     request.attempt->phase = Phase::dialing;
     return client_left(send.query);
   }
@@ -64,7 +64,7 @@
 }
 
 // Puts the attempt on a link, where it leaves once that is up. False: none can be had.
-bool Manager::dispatch(QueryId query, Request& request, const EngineRecord& engine) {
+bool Dispatcher::dispatch(QueryId query, Request& request, const EngineRecord& engine) {
   Attempt& attempt = *request.attempt;
   const auto link = links_.pick(now_, attempt.uid, engine, request.used, attempt.dial_by);
   if (!link) return false;
@@ -74,68 +74,68 @@
   attempt.phase = Phase::out;
   EngineRequest out;
   out.id = request.told.request_id;
-  out.profile = config_.real.classes[static_cast<std::size_t>(request.told.cls)];
+  out.query_class = config_.real.classes[static_cast<std::size_t>(request.told.query_class)];
   out.deadline = attempt.until;
-  out.band = band_of(query, request, attempt.uid);
+  out.priority = band_of(query, request, attempt.uid);
   if (route_of(request.told).touched) {
-    out.granted_until = routes_.until();
-    at(out.granted_until, AttemptTimer{query, attempt.tag, Outcome::never_sent, now_});
+    out.lease_expiry = routes_.until();
+    at(out.lease_expiry, AttemptTimer{query, attempt.tag, Outcome::never_sent, now_});
   }
   out.statement = request.told.statement;
   engines_.send(*link, attempt.tag, std::move(out));
   return true;
 }
 
-void Manager::on(const LinkUp& up) {
-  if (Link* link = links_.find(up.link)) link->up = true, link->heard = now_;
+void Dispatcher::on(const EngineConnected& up) {
+  if (EngineConnection* link = links_.find(up.connection)) link->up = true, link->heard = now_;
 }
 
-void Manager::on(const LinkEnded& ended) {
-  Link* link = links_.find(ended.link);
+void Dispatcher::on(const EngineDisconnected& ended) {
+  EngineConnection* link = links_.find(ended.connection);
   if (!link) return;
   // Copied, as ending an attempt takes it off the link.
   const auto carried = link->carries;
   const bool was_up = link->up;
   if (was_up && !carried.empty())
-    log_.note("a connection to " + link->uid + " ended with " + std::to_string(carried.size()) +
-              " attempts on it: " + ended.why);
+    log_.write("a connection to " + link->uid + " ended with " + std::to_string(carried.size()) +
+               " attempts on it: " + ended.cause);
   for (const auto& [id, query] : carried) {
     Request& request = requests_.at(query);
-    const bool unwritten = engines_.withdraw(ended.link, request.attempt->tag);
-    if (ended.local && dial_again(query, *request.attempt)) continue;
+    const bool unwritten = engines_.withdraw(ended.connection, request.attempt->tag);
+    if (ended.local_fault && dial_again(query, *request.attempt)) continue;
     end_attempt(query, request,
-                ended.local ? Outcome::never_sent
-                : !was_up   ? Outcome::unreachable
-                : unwritten ? Outcome::never_sent
-                            : Outcome::reset);
+                ended.local_fault ? Outcome::never_sent
+                : !was_up         ? Outcome::unreachable
+                : unwritten       ? Outcome::never_sent
+                                  : Outcome::reset);
   }
-  links_.drop(ended.link);
+  links_.drop(ended.connection);
 }
 
 // False: it has been tried for long enough.
-bool Manager::dial_again(QueryId query, Attempt& attempt) {
+bool Dispatcher::dial_again(QueryId query, Attempt& attempt) {
   if (now_ + kDialAgain >= attempt.dial_by) return false;
   attempt.phase = Phase::dialing;
   at(now_ + kDialAgain, DialAgain{query, attempt.tag});
   return true;
 }
 
-void Manager::due(const DialAgain& timer) {
+void Dispatcher::due(const DialAgain& timer) {
   const auto it = requests_.find(timer.query);
   if (it == requests_.end() || !it->second.attempt || it->second.attempt->tag != timer.tag) return;
   Request& request = it->second;
   Attempt& attempt = *request.attempt;
-  const EngineRecord* engine = directory_.usable(attempt.uid);
+  const EngineRecord* engine = directory_.find_available(attempt.uid);
   if (request.answered || !engine || bars(route_of(request.told), attempt.uid))
     return end_attempt(timer.query, request, Outcome::never_sent);
-  if (clients_.has_left(request.told.session)) return client_left(timer.query);
+  if (clients_.has_disconnected(request.told.session)) return client_left(timer.query);
   if (!dispatch(timer.query, request, *engine) && !dial_again(timer.query, attempt))
     end_attempt(timer.query, request, Outcome::never_sent);
 }
 
 // Nothing of it has left, and nothing will.
-bool Manager::take_back(const Attempt& attempt) {
+bool Dispatcher::take_back(const Attempt& attempt) {
   return attempt.phase == Phase::dialing || engines_.withdraw(attempt.link, attempt.tag);
 }
 
-}  // namespace yokestream::manager
+}  // namespace yokestream::dispatch
--- a/src/manager/manager.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -1,10 +1,10 @@
-#include "manager/manager.h"
+#include "dispatch/dispatcher.h"
 
 #include <algorithm>
 #include <utility>
 #include <variant>
 
-namespace yokestream::manager {
+namespace yokestream::dispatch {
 namespace {
 
 using std::chrono::milliseconds;
@@ -23,16 +23,16 @@
 constexpr Duration kSessionFresh = milliseconds(300);  // one that just came has its request on the way
 constexpr std::size_t kMostOpenOnSession = 32;
 constexpr Duration kSuspicion = milliseconds(1000);  // of a client whose request no engine could use
-Links::Bounds link_bounds(const config::Config& config) {
-  Links::Bounds bounds;
+EngineConnections::Bounds link_bounds(const config::Config& config) {
+  EngineConnections::Bounds bounds;
   bounds.streams = config.real.streams_per_connection;
   bounds.links = config.limits.links();
   bounds.idle = config.real.idle_close / 2;  // well before the engine closes it under a request
   bounds.ask_after = kAskAfter;
   return bounds;
 }
-Sessions::Bounds session_bounds(const config::Config& config) {
-  Sessions::Bounds bounds;
+ClientSessions::Bounds session_bounds(const config::Config& config) {
+  ClientSessions::Bounds bounds;
   bounds.sessions = config.limits.sessions();
   bounds.open = kMostOpenOnSession;
   bounds.first_within = kFirstWithin;
@@ -43,8 +43,8 @@
 }
 
 // One judge of shares: where a station keeps them the module keeps no quotas.
-lynxstand::Settings module_settings(const config::Config& config) {
-  lynxstand::Settings settings = config.settings;
+policy::Settings module_settings(const config::Config& config) {
+  policy::Settings settings = config.settings;
   if (config.door.on || config.queues.on) {
     for (auto& tenant : settings.tenants) tenant.quota_per_s = 0;
   }
@@ -60,9 +60,9 @@
 
 }  // namespace
 
-Manager::Manager(const config::Config& config, Time now, Directory::FromUnix from_unix, Budget& budget,
-                 ClientPort& clients, EnginePort& engines, Log& log,
-                 std::optional<learnt::Inherited> inherited)
+Dispatcher::Dispatcher(const config::Config& config, Time now, EngineDirectory::FromUnix from_unix,
+                       Budget& budget, ClientPort& clients, EnginePort& engines, Log& log,
+                       std::optional<snapshot::RestoredState> inherited)
     : config_(config),
       budget_(budget),
       clients_(clients),
@@ -73,13 +73,13 @@
       sessions_(session_bounds(config)),
       controller_(module_settings(config), config.seed, now),
       now_(now),
-      fronts_(config.settings.fronts),
+      fronts_(config.settings.manager_count),
       figures_(config.real.classes) {
   if (inherited) {
-    const bool taken = controller_.take_over(inherited->learnt, inherited->age);
-    log_.note(taken ? "took over what another process learnt of " +
-                          std::to_string(inherited->learnt.engines.size()) + " engines"
-                    : "what another process learnt is not taken over: it makes no sense here");
+    const bool taken = controller_.restore(inherited->state, inherited->age);
+    log_.write(taken ? "took over what another process learnt of " +
+                           std::to_string(inherited->state.engines.size()) + " engines"
+                     : "what another process learnt is not taken over: it makes no sense here");
   }
   bool first = true;
   if (config.fleet.on) routes_.expect(config.fleet.areas);
@@ -93,18 +93,18 @@
   publish_engines();
 }
 
-void Manager::serve_beside(std::size_t others) {
-  if (std::exchange(beside_, others) != others) count_fronts(fronts_);
+void Dispatcher::set_peer_process_count(std::size_t others) {
+  if (std::exchange(beside_, others) != others) set_manager_count(fronts_);
 }
 
-void Manager::count_fronts(double fronts) {
+void Dispatcher::set_manager_count(double fronts) {
   fronts_ = fronts;
-  controller_.count_fronts(fronts_ * static_cast<double>(1 + beside_));
+  controller_.set_manager_count(fronts_ * static_cast<double>(1 + beside_));
 }
 
-void Manager::step(Time now) { now_ = std::max(now_, now); }
+void Dispatcher::step(Time now) { now_ = std::max(now_, now); }
 
-void Manager::handle(Time now, Event event) {
+void Dispatcher::handle(Time now, Event event) {
   step(now);
   std::visit([this](auto& e) { on(std::move(e)); }, event);
   run_controller();
@@ -112,7 +112,7 @@
   figures_.set_in_flight(calls_.size());
 }
 
-void Manager::tick(Time now) {
+void Dispatcher::tick(Time now) {
   step(now);
   while (!timers_.empty() && timers_.begin()->first <= now_) {
     const Timer timer = std::move(timers_.extract(timers_.begin()).mapped());
@@ -123,13 +123,13 @@
   figures_.set_in_flight(calls_.size());
 }
 
-Time Manager::next_due() const { return timers_.empty() ? Time::max() : timers_.begin()->first; }
+Time Dispatcher::next_due() const { return timers_.empty() ? Time::max() : timers_.begin()->first; }
 
 // The controller hears one event at a time; what its actions bring about at once it hears afterwards, in
 // turn.
-void Manager::run_controller() {
+void Dispatcher::run_controller() {
   while (!told_.empty()) {
-    const lynxstand::Event event = std::move(told_.front());
+    const policy::Event event = std::move(told_.front());
     told_.pop_front();
     actions_.clear();
     controller_.handle(now_, event, actions_);
@@ -137,41 +137,43 @@
   }
 }
 
-void Manager::drop(Timers::iterator& timer) {
+void Dispatcher::drop(Timers::iterator& timer) {
   if (timer != timers_.end()) timers_.erase(timer);
   timer = timers_.end();
 }
 
-void Manager::due(const Wake& wake) { tell(lynxstand::Woken{wake.token}); }
+void Dispatcher::due(const Wake& wake) { tell(policy::TimerFired{wake.token}); }
 
-void Manager::due(const Sweep&) {
-  for (const LinkId link : links_.sweep(now_, directory_)) {
+void Dispatcher::due(const Sweep&) {
+  for (const EngineConnectionId link : links_.sweep(now_, directory_)) {
     engines_.close(link);
-    on(LinkEnded{link, "it does not answer"});
+    on(EngineDisconnected{link, "it does not answer"});
   }
   look_at_service();
   finish_settled();
   directory_.forget(now_);
-  routes_.keep([&](const std::string& uid) { return directory_.knows(uid); });
+  routes_.keep([&](const std::string& uid) { return directory_.has(uid); });
   note_stations();
   publish_engines();
   at(now_ + kSweepEvery, Sweep{});
 }
 
-void Manager::look_at_service() {
+void Dispatcher::look_at_service() {
   service_.tick(now_, sessions_.closing());
-  const auto spared = service_.closes_idle(now_)
-                          ? std::optional(service_.takes(now_) ? kSessionQuiet : Duration{})
+  const auto spared = service_.closes_idle_connections(now_)
+                          ? std::optional(service_.accepts_requests(now_) ? kSessionQuiet : Duration{})
                           : std::nullopt;
   for (const SessionId session : sessions_.overdue(now_, spared)) close_idle(session);
   if (spared && !closing_) closing_ = true, at(now_ + kCloseEvery, CloseIdle{});
 }
 
-void Manager::due(const CloseIdle&) {
+void Dispatcher::due(const CloseIdle&) {
   closing_ = false;
   look_at_service();
 }
 
-void Manager::publish_engines() { figures_.set_engines(directory_.listed(), controller_.avoided()); }
+void Dispatcher::publish_engines() {
+  figures_.set_engines(directory_.listed(), controller_.unavailable_engines());
+}
 
-}  // namespace yokestream::manager
+}  // namespace yokestream::dispatch
--- a/src/manager/directory.cpp
+++ b/src/dispatch/engine_directory.cpp
@@ -1,9 +1,9 @@
-#include "manager/directory.h"
+#include "dispatch/engine_directory.h"
 
 #include <algorithm>
 #include <set>
 
-namespace yokestream::manager {
+namespace yokestream::dispatch {
 namespace {
 
 constexpr Duration kForgetAfter = std::chrono::seconds(60);
@@ -18,7 +18,7 @@
 
 // Guards the memory where new engines replace old ones under new names for good. One that comes back soon is
 // still known, and its start maps to the same time.
-void Directory::forget(Time now) {
+void EngineDirectory::forget(Time now) {
   std::erase_if(engines_, [&](const auto& known) {
     const auto& [uid, record] = known;
     if (!record.gone_since || now - *record.gone_since < kForgetAfter) return false;
@@ -29,32 +29,32 @@
   });
 }
 
-double Directory::cores_up(const std::vector<lynxstand::KindSettings>& kinds) const {
+double EngineDirectory::cores_up(const std::vector<policy::KindSettings>& kinds) const {
   double cores = 0;
   for (const auto& [uid, record] : engines_) {
     const auto kind = static_cast<std::size_t>(record.kind);
-    if (record.state == lynxstand::EngineState::up && kind < kinds.size()) cores += kinds[kind].cores;
+    if (record.state == policy::EngineState::up && kind < kinds.size()) cores += kinds[kind].cores;
   }
   return cores;
 }
 
-void Directory::note_gone(EngineRecord& record, Time now) {
-  if (record.state != lynxstand::EngineState::gone)
+void EngineDirectory::note_gone(EngineRecord& record, Time now) {
+  if (record.state != policy::EngineState::gone)
     record.gone_since.reset();
   else if (!record.gone_since)
     record.gone_since = now;
 }
 
-lynxstand::EngineList Directory::apply(Time now, const config::MembersEvent& event, bool remembered) {
-  lynxstand::EngineList list;
-  list.kind = remembered    ? lynxstand::ListKind::remembered
-              : event.whole ? lynxstand::ListKind::full
-                            : lynxstand::ListKind::changes;
+policy::EngineList EngineDirectory::apply(Time now, const config::MembersEvent& event, bool remembered) {
+  policy::EngineList list;
+  list.kind = remembered    ? policy::EngineListKind::cached
+              : event.whole ? policy::EngineListKind::full
+                            : policy::EngineListKind::delta;
   if (event.whole) {
     std::set<std::string> named;
     for (const auto& member : event.members) named.insert(member.uid);
     for (auto& [uid, record] : engines_) {
-      if (!named.count(uid)) record.state = lynxstand::EngineState::gone;
+      if (!named.count(uid)) record.state = policy::EngineState::gone;
       note_gone(record, now);
     }
   }
@@ -64,16 +64,16 @@
     note_gone(record, now);
     record.boot_ms = member.boot_ms;
     if (member.endpoint) record.endpoint = *member.endpoint;
-    if (member.endpoint && member.state == lynxstand::EngineState::up) claim(*member.endpoint, member);
-    lynxstand::EngineEntry entry;
+    if (member.endpoint && member.state == policy::EngineState::up) claim(*member.endpoint, member);
+    policy::EngineEntry entry;
     entry.engine.name = member.uid;
-    entry.zone = position<lynxstand::ZoneId>(names_.zones, member.zone);
-    entry.kind = record.kind = position<lynxstand::KindId>(names_.kinds, member.kind);
-    entry.cell = lynxstand::CellId{member.cell};
+    entry.zone = position<policy::ZoneId>(names_.zones, member.zone);
+    entry.kind = record.kind = position<policy::KindId>(names_.kinds, member.kind);
+    entry.cell = policy::CellId{member.cell};
     entry.state = member.state;
     entry.weight = member.weight;
     const bool news = !remembered && !event.whole;
-    if (member.boot_ms > 0) entry.started = starts_.started(now, member.uid, member.boot_ms, news);
+    if (member.boot_ms > 0) entry.start_time = starts_.started(now, member.uid, member.boot_ms, news);
     list.entries.push_back(std::move(entry));
   }
   return list;
@@ -81,25 +81,25 @@
 
 // A new engine may have the address of one that has gone, told before or after the end of the old one. What
 // is meant for the old one must not reach the new one, so an address belongs to the one that started last.
-void Directory::claim(const config::Endpoint& endpoint, const config::Member& member) {
+void EngineDirectory::claim(const config::Endpoint& endpoint, const config::Member& member) {
   auto& owner = owners_[endpoint];
   const auto holder = engines_.find(owner);
-  const bool held = holder != engines_.end() && holder->second.state == lynxstand::EngineState::up &&
+  const bool held = holder != engines_.end() && holder->second.state == policy::EngineState::up &&
                     holder->second.endpoint == endpoint;
   if (!held || holder->second.boot_ms <= member.boot_ms) owner = member.uid;
 }
 
-std::size_t Directory::listed() const {
+std::size_t EngineDirectory::listed() const {
   return static_cast<std::size_t>(std::count_if(engines_.begin(), engines_.end(), [](const auto& known) {
-    return known.second.state != lynxstand::EngineState::gone;
+    return known.second.state != policy::EngineState::gone;
   }));
 }
 
-const EngineRecord* Directory::usable(const std::string& uid) const {
+const EngineRecord* EngineDirectory::find_available(const std::string& uid) const {
   const auto it = engines_.find(uid);
-  if (it == engines_.end() || it->second.state != lynxstand::EngineState::up) return nullptr;
+  if (it == engines_.end() || it->second.state != policy::EngineState::up) return nullptr;
   const auto owner = owners_.find(it->second.endpoint);
   return owner != owners_.end() && owner->second == uid ? &it->second : nullptr;
 }
 
-}  // namespace yokestream::manager
+}  // namespace yokestream::dispatch
--- a/src/manager/start_times.cpp
+++ b/src/dispatch/engine_start_times.cpp
@@ -1,8 +1,8 @@
-#include "manager/start_times.h"
+#include "dispatch/engine_start_times.h"
 
 #include <algorithm>
 
-namespace yokestream::manager {
+namespace yokestream::dispatch {
 namespace {
 
 // The list tells of a start within some seconds, and an outage of it lasts some more.
@@ -10,19 +10,20 @@
 
 }  // namespace
 
-StartTimes::StartTimes(FromUnix from_unix) : from_unix_(std::move(from_unix)), latest_epoch_(from_unix_(0)) {}
+EngineStartTimes::EngineStartTimes(FromUnix from_unix)
+    : from_unix_(std::move(from_unix)), latest_epoch_(from_unix_(0)) {}
 
-Time StartTimes::estimate(Time now, std::int64_t boot_ms, bool news) {
+Time EngineStartTimes::estimate(Time now, std::int64_t boot_ms, bool news) {
   latest_epoch_ = std::max(latest_epoch_, from_unix_(0));
   const Time start = latest_epoch_ + std::chrono::milliseconds(boot_ms);
   if (start > now) return now;
   return news && now - start > kOldestNews ? now : start;
 }
 
-Time StartTimes::started(Time now, const std::string& uid, std::int64_t boot_ms, bool news) {
+Time EngineStartTimes::started(Time now, const std::string& uid, std::int64_t boot_ms, bool news) {
   auto& [known, time] = known_[uid];
   if (known != boot_ms) known = boot_ms, time = estimate(now, boot_ms, news);
   return time;
 }
 
-}  // namespace yokestream::manager
+}  // namespace yokestream::dispatch
--- a/src/manager/start_times.h
+++ b/src/dispatch/engine_start_times.h
@@ -13,14 +13,14 @@
 #include <string>
 #include <utility>
 
-#include "manager/ports.h"
+#include "dispatch/ports.h"
 
-namespace yokestream::manager {
+namespace yokestream::dispatch {
 
-class StartTimes {
+class EngineStartTimes {
  public:
   using FromUnix = std::function<Time(std::int64_t unix_ms)>;
-  explicit StartTimes(FromUnix from_unix);
+  explicit EngineStartTimes(FromUnix from_unix);
 
   // `news`: told as a change while this process follows the list, not remembered from before.
   Time started(Time now, const std::string& uid, std::int64_t boot_ms, bool news);
@@ -34,4 +34,4 @@
   std::map<std::string, std::pair<std::int64_t, Time>> known_;
 };
 
-}  // namespace yokestream::manager
+}  // namespace yokestream::dispatch
--- a/src/manager/request.h
+++ b/src/dispatch/request.h
@@ -8,29 +8,29 @@
 #include <variant>
 #include <vector>
 
+#include "dispatch/ports.h"
 #include "door/door.h"
-#include "manager/ports.h"
 
-namespace yokestream::manager {
+namespace yokestream::dispatch {
 
 struct Wake {
   std::uint64_t token = 0;
 };
 struct Deadline {
-  lynxstand::QueryId query{};
+  policy::QueryId query{};
 };
 struct Guard {
-  lynxstand::QueryId query{};
+  policy::QueryId query{};
 };
 struct AttemptTimer {  // time-out, or the end of what a stop may take
-  lynxstand::QueryId query{};
-  SendTag tag = 0;
-  lynxstand::Outcome outcome{};
+  policy::QueryId query{};
+  AttemptTag tag = 0;
+  policy::Outcome outcome{};
   Time since{};
 };
 struct DialAgain {  // no link could be had for this attempt just then
-  lynxstand::QueryId query{};
-  SendTag tag = 0;
+  policy::QueryId query{};
+  AttemptTag tag = 0;
 };
 struct Sweep {};
 struct CloseIdle {};    // clients are sent away: those that are idle now
@@ -43,31 +43,31 @@
 
 enum class Phase { dialing, out, stopping, fetching };  // dialing: on no link, until it is dialed again
 struct Attempt {
-  lynxstand::AttemptNo number{};
+  policy::AttemptNumber number{};
   std::string uid;
-  LinkId link{};
-  SendTag tag = 0;
+  EngineConnectionId link{};
+  AttemptTag tag = 0;
   Time sent{};
   Time dial_by{};  // a link is up by then
   Time until{};    // its answer is wanted by then
   Phase phase = Phase::out;
-  EngineAnswer end;  // fetching: the answer `served`, its body grown by the pages that have come
+  EngineResponse end;  // fetching: the answer `served`, its body grown by the pages that have come
   std::map<std::uint32_t, std::string> pages;
   Reservation held;
-  lynxstand::Duration took{};
+  policy::Duration took{};
 };
 struct Request {
-  Arrived told;
-  std::vector<LinkId> used;    // by its attempts so far
-  std::uint32_t priority = 1;  // the module's wish
+  RequestReceived told;
+  std::vector<EngineConnectionId> used;  // by its attempts so far
+  std::uint32_t priority = 1;            // the module's wish
   std::uint32_t attempts = 0;
   bool answered = false;
   std::optional<Attempt> attempt;
   Reservation held;
   Timers::iterator deadline, guard;
-  Time passed{};                                 // the door
-  std::optional<lynxstand::EngineSet> eligible;  // as the module was told last
-  door::Outcome past;                            // what the door is to hear at the end
+  Time passed{};                              // the door
+  std::optional<policy::EngineSet> eligible;  // as the module was told last
+  door::Outcome past;                         // what the door is to hear at the end
 };
 
-}  // namespace yokestream::manager
+}  // namespace yokestream::dispatch
--- a/src/manager/routing.cpp
+++ b/src/dispatch/routing.cpp
@@ -7,23 +7,24 @@
 // that it acts on a table only when nothing of that kind is out (S6).
 #include <algorithm>
 
-#include "manager/manager.h"
+#include "dispatch/dispatcher.h"
 
-namespace yokestream::manager {
+namespace yokestream::dispatch {
 
-using lynxstand::EngineSet;
+using policy::EngineSet;
 
-routes::Route Manager::route_of(const Arrived& told) const {
+routing::Route Dispatcher::route_of(const RequestReceived& told) const {
   const auto& cls = class_of(told);
-  return routes_.find(now_, told.tables, cls.repeatable == lynxstand::Repeatable::always, told.request_id);
+  return routes_.find(now_, told.table_group, cls.idempotency == policy::Idempotency::idempotent,
+                      told.request_id);
 }
 
-std::optional<EngineSet> Manager::eligible(const routes::Route& route) const {
+std::optional<EngineSet> Dispatcher::eligible(const routing::Route& route) const {
   if (route.closed) return EngineSet{};
   return route.among ? std::optional(*route.among) : std::nullopt;
 }
 
-void Manager::route(Time now, const routes::Table& table, Time until) {
+void Dispatcher::apply_routes(Time now, const routing::Table& table, Time until) {
   step(now);
   if (table.epoch != routes_.epoch()) routes_.swap(table);
   routes_.extend(until);
@@ -33,42 +34,42 @@
   if (has_stations()) look_at_stations();
 }
 
-void Manager::due(const RoutesEnd&) {
+void Dispatcher::due(const RoutesEnd&) {
   if (now_ >= routes_.until()) tell_routes();
 }
 
 // What is queued and not written yet is taken back where it may no longer go; the module hears of the others.
-void Manager::tell_routes() {
+void Dispatcher::tell_routes() {
   if (!routes_.on()) return;
-  std::vector<lynxstand::QueryId> barred;
+  std::vector<policy::QueryId> barred;
   for (auto& [query, request] : requests_) {
-    const routes::Route route = route_of(request.told);
+    const routing::Route route = route_of(request.told);
     if (request.attempt && bars(route, request.attempt->uid)) barred.push_back(query);
     auto now_eligible = eligible(route);
     if (request.answered || request.eligible == now_eligible) continue;
     request.eligible = std::move(now_eligible);
-    tell(lynxstand::EligibleNow{query, request.eligible});
+    tell(policy::EligibilityChanged{query, request.eligible});
   }
   for (const auto query : barred) {
     Request& request = requests_.at(query);
-    if (take_back(*request.attempt)) end_attempt(query, request, lynxstand::Outcome::never_sent);
+    if (take_back(*request.attempt)) end_attempt(query, request, policy::Outcome::never_sent);
   }
 }
 
-bool Manager::bars(const routes::Route& route, const std::string& uid) const {
+bool Dispatcher::bars(const routing::Route& route, const std::string& uid) const {
   if (route.closed) return true;
   if (!route.among) return false;
   const std::uint32_t slot = routes_.slot(uid);
-  return slot >= lynxstand::kMostSlots || !(*route.among)[slot];
+  return slot >= policy::kMaxEngineSlots || !(*route.among)[slot];
 }
 
-void Manager::tally(const Request& request, bool served) {
+void Dispatcher::tally(const Request& request, bool served) {
   if (!request.eligible) return;  // no rule, or the module was not asked
   const auto& cls = class_of(request.told);
-  const routes::Route route = route_of(request.told);
-  if (!route.among || cls.repeatable != lynxstand::Repeatable::always) return;
-  auto& [left, taken] = tallies_[request.told.tables];
-  routes::Tally& side = route.moved ? taken : left;
+  const routing::Route route = route_of(request.told);
+  if (!route.among || cls.idempotency != policy::Idempotency::idempotent) return;
+  auto& [left, taken] = tallies_[request.told.table_group];
+  routing::Tally& side = route.moved ? taken : left;
   ++side.all, side.served += served;
   if (!served || !request.told.work || !request.attempt) return;
   const auto us = [](Duration d) { return std::chrono::duration_cast<std::chrono::microseconds>(d).count(); };
@@ -77,17 +78,17 @@
 }
 
 // The list as the module is to hear it, with the slots by which sets name engines.
-lynxstand::EngineList Manager::take_list(const config::MembersEvent& event, bool remembered) {
-  lynxstand::EngineList list = directory_.apply(now_, event, remembered);
+policy::EngineList Dispatcher::take_list(const config::MembersEvent& event, bool remembered) {
+  policy::EngineList list = directory_.apply(now_, event, remembered);
   for (std::size_t i = 0; i < event.members.size(); ++i)
     list.entries[i].slot = routes_.list(event.members[i]);
   return list;
 }
 
-bool Manager::keeps_to_routes() const {
+bool Dispatcher::conforms_to_routes() const {
   for (const auto& [query, request] : requests_)
     if (request.attempt && bars(route_of(request.told), request.attempt->uid)) return false;
   return true;
 }
 
-}  // namespace yokestream::manager
+}  // namespace yokestream::dispatch
--- a/src/manager/service.cpp
+++ b/src/dispatch/service_lifecycle.cpp
@@ -1,8 +1,8 @@
-#include "manager/service.h"
+#include "dispatch/service_lifecycle.h"
 
 #include <algorithm>
 
-namespace yokestream::manager {
+namespace yokestream::dispatch {
 namespace {
 
 using std::chrono::milliseconds;
@@ -24,20 +24,20 @@
 
 }  // namespace
 
-void Service::evacuate(Time now) {
+void ServiceLifecycle::start_draining(Time now) {
   if (state_ == State::ready || state_ == State::returning) enter(State::draining, now);
 }
 
-void Service::activate(Time now) {
+void ServiceLifecycle::resume(Time now) {
   if (state_ == State::draining || state_ == State::drained) enter(State::returning, now);
 }
 
-void Service::leave(Time now, bool successor, Duration most) {
-  if (leaving()) {
+void ServiceLifecycle::begin_shutdown(Time now, bool successor, Duration most) {
+  if (is_shutting_down()) {
     if (successor) listen_until_ = std::min(listen_until_, now);
     return;
   }
-  enter(State::leaving, now);
+  enter(State::shutting_down, now);
   end_by_ = successor ? now + std::max(most - kBeforeKill, kBeforeKill) : now + kLeaveEnds;
   listen_until_ = successor ? now : now + kLeaveListens;
   accept_until_ = successor ? end_by_ - kLastRefused : now + kLeaveAccepts;
@@ -45,9 +45,9 @@
   close_from_ = successor ? now : accept_until_;
 }
 
-void Service::tick(Time now, bool closing) {
+void ServiceLifecycle::tick(Time now, bool closing) {
   if (state_ == State::draining && now >= since_ + kDrainServes) enter(State::drained, now);
   if (state_ == State::returning && (!closing || now >= since_ + kReturnWithin)) enter(State::ready, now);
 }
 
-}  // namespace yokestream::manager
+}  // namespace yokestream::dispatch
--- a/src/manager/service.h
+++ b/src/dispatch/service_lifecycle.h
@@ -18,33 +18,35 @@
 // Pure: told events with a time, which never runs backwards. One thread at a time.
 #pragma once
 
-#include "manager/ports.h"
+#include "dispatch/ports.h"
 
-namespace yokestream::manager {
+namespace yokestream::dispatch {
 
-class Service {
+class ServiceLifecycle {
  public:
-  enum class State { ready, draining, drained, returning, leaving };
+  enum class State { ready, draining, drained, returning, shutting_down };
 
-  void evacuate(Time now);
-  void activate(Time now);
+  void start_draining(Time now);
+  void resume(Time now);
   // A planned restart. Told again, it only hears of a successor that came late. With a successor, which
   // shares the listener, nothing more is accepted here, and what comes on open connections is served for as
   // long as `most` allows: the time after which the process may be killed.
-  void leave(Time now, bool successor, Duration most);
+  void begin_shutdown(Time now, bool successor, Duration most);
   void tick(Time now, bool closing);  // closing: some connection is being closed
 
   State state() const { return state_; }
-  bool leaving() const { return state_ == State::leaving; }
-  bool says_yes() const { return state_ == State::ready; }
-  bool listens(Time now) const { return now < listen_until_; }
-  bool takes(Time now) const { return state_ != State::drained && now < accept_until_; }
-  bool closes_idle(Time now) const {
+  bool is_shutting_down() const { return state_ == State::shutting_down; }
+  bool is_ready() const { return state_ == State::ready; }
+  bool accepts_connections(Time now) const { return now < listen_until_; }
+  bool accepts_requests(Time now) const { return state_ != State::drained && now < accept_until_; }
+  bool closes_idle_connections(Time now) const {
     return state_ == State::draining || state_ == State::drained || now >= close_from_;
   }
   // Leaving: what was accepted last has been heard of by now, so that nothing is owed that nobody knows.
-  bool may_end(Time now) const { return now >= end_from_; }
-  Time end_by() const { return end_by_; }  // leaving: nothing is open from then on; else Time::max()
+  bool may_exit(Time now) const { return now >= end_from_; }
+  Time shutdown_deadline() const {
+    return end_by_;
+  }  // leaving: nothing is open from then on; else Time::max()
 
  private:
   void enter(State state, Time now) { state_ = state, since_ = now; }
@@ -55,4 +57,4 @@
   Time end_by_ = Time::max(), end_from_ = Time::max();
 };
 
-}  // namespace yokestream::manager
+}  // namespace yokestream::dispatch
--- a/src/manager/station.cpp
+++ b/src/dispatch/station.cpp
@@ -9,24 +9,24 @@
 #include <sstream>
 
 #include "base/seconds.h"
-#include "manager/manager.h"
+#include "dispatch/dispatcher.h"
 
-namespace yokestream::manager {
+namespace yokestream::dispatch {
 namespace {
 
-using lynxstand::QueryId;
+using policy::QueryId;
 
 constexpr Duration kStationNoteEvery = std::chrono::seconds(10);
 
 }  // namespace
 
 // False: it was turned away, and has its answer.
-bool Manager::knock(const Arrived& arrived, QueryId query, door::Verdict* verdict) {
+bool Dispatcher::knock(const RequestReceived& arrived, QueryId query, door::Verdict* verdict) {
   const auto& cls = class_of(arrived);
   door::Arrival knock;
   knock.query = query;
   knock.member = static_cast<std::size_t>(arrived.tenant);
-  knock.cls = static_cast<std::size_t>(arrived.cls);
+  knock.cls = static_cast<std::size_t>(arrived.query_class);
   knock.client = config_.door.by_connection ? static_cast<std::uint64_t>(arrived.session)
                                             : sessions_.origin(arrived.session);
   knock.told = arrived.work ? seconds_of(*arrived.work) : 0;
@@ -39,47 +39,49 @@
 }
 
 // The queues are asked next, where they are on.
-void Manager::past_door(QueryId query, double cost) {
+void Dispatcher::past_door(QueryId query, double cost) {
   const auto it = requests_.find(query);
   Request& request = it->second;
   if (!queues_) return introduce(query, request, cost);
-  const Arrived& told = request.told;
+  const RequestReceived& told = request.told;
   const auto verdict = queues_->arrive(now_, queue_arrival(query, told, cost));
-  if (verdict.ruling != queues::Ruling::turn_away) clients_.quoted(told.session, told.call, verdict.quote);
+  if (verdict.ruling != queues::Ruling::turn_away)
+    clients_.attach_quote(told.session, told.call, verdict.quote);
   if (verdict.ruling == queues::Ruling::pass) return introduce(query, request, verdict.cost);
   if (verdict.ruling == queues::Ruling::turn_away) refuse_waiting(it, verdict.hint);
 }
 
-queues::Arrival Manager::queue_arrival(QueryId query, const Arrived& told, double cost) const {
+queues::Arrival Dispatcher::queue_arrival(QueryId query, const RequestReceived& told, double cost) const {
   const auto& cls = class_of(told);
   const double estimate = cost > 0 ? cost : told.work ? seconds_of(*told.work) : 0;
   queues::Arrival arrival;
   arrival.query = query;
   arrival.member = static_cast<std::size_t>(told.tenant);
-  arrival.cls = static_cast<std::size_t>(told.cls);
+  arrival.cls = static_cast<std::size_t>(told.query_class);
   arrival.told = estimate;
   arrival.threads = cls.threads;
   arrival.deadline = told.deadline;
-  arrival.wanted = now_ + cls.aim + from_seconds(cls.aim_stretch * estimate / std::max(1.0, cls.threads));
-  arrival.load = cls.loads_tables || cls.repeatable != lynxstand::Repeatable::always;
+  arrival.wanted = now_ + cls.latency_objective +
+                   from_seconds(cls.latency_objective_stretch * estimate / std::max(1.0, cls.threads));
+  arrival.load = cls.locks_table_group || cls.idempotency != policy::Idempotency::idempotent;
   return arrival;
 }
 
-void Manager::on(const QuoteAsked& asked) {
-  const Arrived& told = asked.request;
+void Dispatcher::on(const QuoteRequested& asked) {
+  const RequestReceived& told = asked.request;
   if (!queues_) return on(BadRequest{told.session, told.call, "unknown class"});
-  clients_.answer_quote(told.session, told.call, queues_->quote(now_, queue_arrival({}, told, 0)));
+  clients_.send_quote(told.session, told.call, queues_->quote(now_, queue_arrival({}, told, 0)));
   sessions_.answered(now_, told.session);
 }
 
 // It has not been told to the module: none of it can have run.
-void Manager::refuse_waiting(Requests::iterator it, Duration hint) {
+void Dispatcher::refuse_waiting(Requests::iterator it, Duration hint) {
   close_call(it->second);
   refuse(it->second.told, hint);
   forget_if_done(it);
 }
 
-bool Manager::move_door() {
+bool Dispatcher::move_door() {
   const auto moved = door_ ? door_->next(now_) : std::nullopt;
   if (!moved) return false;
   if (moved->verdict.ruling == door::Ruling::pass)
@@ -89,7 +91,7 @@
   return true;
 }
 
-bool Manager::move_queues() {
+bool Dispatcher::move_queues() {
   const auto moved = queues_ ? queues_->next(now_) : std::nullopt;
   if (!moved) return false;
   const auto it = requests_.find(moved->query);
@@ -101,7 +103,7 @@
 }
 
 // Until nobody moves: whoever goes on at one station may make room at the one before.
-void Manager::look_at_stations() {
+void Dispatcher::look_at_stations() {
   while (move_queues() || move_door()) run_controller();
   run_controller();
   if (queues_) tell_bands();
@@ -112,30 +114,30 @@
   station_look_ = at(due, StationLook{});
 }
 
-void Manager::due(const StationLook&) { station_look_ = timers_.end(); }
+void Dispatcher::due(const StationLook&) { station_look_ = timers_.end(); }
 
 // The one place that tells engines of priorities, with act(SetTerms), which asks the queues too.
-void Manager::tell_bands() {
+void Dispatcher::tell_bands() {
   while (const auto change = queues_->next_band(now_)) {
     const auto it = requests_.find(change->query);
     if (it == requests_.end() || !it->second.attempt || it->second.attempt->phase != Phase::out) continue;
-    engines_.nice(it->second.attempt->link, it->second.told.request_id, change->band);
+    engines_.set_priority(it->second.attempt->link, it->second.told.request_id, change->band);
   }
 }
 
-std::uint32_t Manager::band_of(QueryId query, const Request& request, const std::string& engine) {
+std::uint32_t Dispatcher::band_of(QueryId query, const Request& request, const std::string& engine) {
   return queues_ ? queues_->started(now_, query, engine, request.priority) : request.priority;
 }
 
 // This manager's part of the engines: the others' are as many and as large, as far as anyone tells.
-void Manager::tell_stations_of_engines() {
+void Dispatcher::tell_stations_of_engines() {
   if (!has_stations()) return;
-  const double cores = directory_.cores_up(config_.settings.kinds) / config_.settings.fronts;
+  const double cores = directory_.cores_up(config_.settings.kinds) / config_.settings.manager_count;
   if (door_) door_->cores(cores);
   if (queues_) queues_->cores(now_, cores);
 }
 
-void Manager::configure(Time now, const door::Settings& settings) {
+void Dispatcher::configure(Time now, const door::Settings& settings) {
   step(now);
   if (!door_ || !settings.on) return;
   door::Settings with_room = settings;
@@ -143,20 +145,20 @@
   door_->configure(with_room);
 }
 
-void Manager::configure(Time now, const queues::Settings& settings) {
+void Dispatcher::configure(Time now, const queues::Settings& settings) {
   step(now);
   if (queues_ && settings.on) queues_->configure(now_, settings);
 }
 
-std::optional<door::Figures> Manager::door_figures() const {
+std::optional<door::Figures> Dispatcher::throttle_metrics() const {
   return door_ ? std::optional(door_->figures()) : std::nullopt;
 }
-std::optional<queues::Figures> Manager::queue_figures() const {
+std::optional<queues::Figures> Dispatcher::scheduler_metrics() const {
   return queues_ ? std::optional(queues_->figures()) : std::nullopt;
 }
 
 // While somebody is turned away or waits operators find the stations' figures in the log.
-void Manager::note_stations() {
+void Dispatcher::note_stations() {
   if (!has_stations() || now_ < next_station_note_) return;
   next_station_note_ = now_ + kStationNoteEvery;
   note_queues();
@@ -170,10 +172,10 @@
        << " kept_in=" << f.kept_in << " waiting=" << f.waiting << " in=" << f.in << " places=" << f.places
        << " bound=" << f.bound << " threads_in=" << f.threads_in << " drain_rate=" << f.drain_rate
        << " stretch=" << f.stretch;
-  log_.note(line.str());
+  log_.write(line.str());
 }
 
-void Manager::note_queues() {
+void Dispatcher::note_queues() {
   if (!queues_) return;
   const queues::Figures f = queues_->figures();
   if (std::exchange(noted_waited_, f.waited + f.turned_away) == f.waited + f.turned_away) return;
@@ -185,7 +187,7 @@
        << " long_quotes_right=" << f.long_quotes_right << " longest_wait=" << f.longest_wait
        << " waiting=" << f.waiting << " in=" << f.in << " sunk=" << f.sunk << " nice=" << f.nice
        << " pace=" << f.pace << " bound=" << f.bound << " threads_in=" << f.threads_in;
-  log_.note(line.str());
+  log_.write(line.str());
 }
 
-}  // namespace yokestream::manager
+}  // namespace yokestream::dispatch
--- a/src/door/outcome.h
+++ b/src/door/outcome.h
@@ -3,17 +3,17 @@
 
 #include <optional>
 
-#include "lynxstand/admission.h"
+#include "yokestream/policy/admission_controller.h"
 
 namespace yokestream::door {
 
 struct Outcome {
-  bool ran = false;            // did any engine work for it?
-  lynxstand::Duration took{};  // from passing to the answer; zero: it was not served
-  double real = 0;             // the work that the engine told, in seconds of one core; 0: not told
-  bool refused = false;        // the module turned it away
+  bool ran = false;         // did any engine work for it?
+  policy::Duration took{};  // from passing to the answer; zero: it was not served
+  double real = 0;          // the work that the engine told, in seconds of one core; 0: not told
+  bool refused = false;     // the module turned it away
 
-  bool served() const { return took > lynxstand::Duration{}; }
+  bool served() const { return took > policy::Duration{}; }
   // What it cost, in seconds of one core, where `taken` was what it was taken to cost.
   double cost(double taken) const { return real > 0 ? real : ran ? taken : 0; }
 };
--- a/src/door/settings.h
+++ b/src/door/settings.h
@@ -5,13 +5,13 @@
 #include <cstdint>
 #include <vector>
 
-#include "lynxstand/admission.h"
+#include "yokestream/policy/admission_controller.h"
 
 namespace yokestream::door {
 
-using lynxstand::Duration;
-using lynxstand::QueryId;
-using lynxstand::Time;
+using policy::Duration;
+using policy::QueryId;
+using policy::Time;
 
 struct Settings {
   bool on = false;
--- a/src/migration/mover.cpp
+++ b/src/migration/mover.cpp
@@ -13,7 +13,7 @@
   return good;
 }
 
-std::optional<routes::Table> Mover::own_table() const {
+std::optional<routing::Table> Mover::own_table() const {
   auto table = table_of(record_, session_);
   if (!table && (without_ & kRoster) && record_.epoch >= 0) {
     Record open = record_;
@@ -36,7 +36,7 @@
 }
 
 // S3: every session of the roster acts on the record, or was seen to have ended long enough ago.
-bool Mover::settled(const duty::Looked& looked) {
+bool Mover::settled(const coordination::Looked& looked) {
   std::erase_if(gone_, [&](const auto& gone) { return !record_.roster.count(gone.first); });
   bool all = true;
   for (const auto& [session, name] : record_.roster) {
@@ -53,7 +53,7 @@
   return all;
 }
 
-std::optional<duty::Duty::Draft> Mover::next(const duty::Looked& looked) {
+std::optional<coordination::Duty::Draft> Mover::next(const coordination::Looked& looked) {
   if (std::exchange(term_, looked.term) != looked.term) gone_.clear(), spans_.clear();
   const bool all = settled(looked);
   Record next = record_;
@@ -78,7 +78,7 @@
 }
 
 // What staff asked for since. A plan that can't be taken is answered with the reason.
-void Mover::take_asked(const duty::Looked& looked, Record& next, Draft& draft) const {
+void Mover::take_asked(const coordination::Looked& looked, Record& next, Draft& draft) const {
   const auto running = [&](const std::string& name) {
     return std::find_if(next.plans.begin(), next.plans.end(),
                         [&](const Running& r) { return r.plan.name == name; });
@@ -117,7 +117,7 @@
 // ---- one plan, one step
 
 // A stage's time and its span are counted from when this owner first saw the whole fleet act on it.
-void Mover::step(const duty::Looked& looked, Running& running) {
+void Mover::step(const coordination::Looked& looked, Running& running) {
   if (running.halted) {
     spans_.erase(running.plan.name);
     return;
@@ -178,7 +178,7 @@
   }
 }
 
-Verdict Mover::judge(const duty::Looked& looked, const Running& running, const Span& span) const {
+Verdict Mover::judge(const coordination::Looked& looked, const Running& running, const Span& span) const {
   std::vector<std::int64_t> sum;
   for (const auto& [session, fact] : looked.living) {
     const auto now = fact.tallies.find(running.plan.name);
--- a/src/migration/mover.h
+++ b/src/migration/mover.h
@@ -15,7 +15,7 @@
 #include <optional>
 #include <string>
 
-#include "duty/duty.h"
+#include "coordination/duty.h"
 #include "migration/record.h"
 #include "migration/tally.h"
 
@@ -24,7 +24,7 @@
 // Takes a plan in; else says why not, and the record stays as it is.
 std::string admit(Record& record, const std::string& name, const std::string& text);
 
-class Mover : public duty::Duty {
+class Mover : public coordination::Duty {
  public:
   static constexpr const char* kName = "migration";
 
@@ -37,12 +37,12 @@
 
   std::string name() const override { return kName; }
   bool see(std::string_view state, const std::string& session) override;
-  std::optional<Draft> next(const duty::Looked& looked) override;
+  std::optional<Draft> next(const coordination::Looked& looked) override;
   bool busy() const override { return busy_; }
 
   const Record& record() const { return record_; }
   // What this process may act on; nullopt: nothing, its areas are closed.
-  const std::optional<routes::Table>& table() const { return table_; }
+  const std::optional<routing::Table>& table() const { return table_; }
   // This session's outcomes by area and side, as the core counted them, by plan: what it tells.
   std::map<std::string, std::vector<std::int64_t>> tallies(const Tallies& by_area) const;
 
@@ -52,19 +52,19 @@
     Time since{};
     std::map<std::string, std::vector<std::int64_t>> from;  // tallies by session as it began
   };
-  std::optional<routes::Table> own_table() const;
-  bool settled(const duty::Looked& looked);
-  void take_asked(const duty::Looked& looked, Record& next, Draft& draft) const;
-  void step(const duty::Looked& looked, Running& running);
+  std::optional<routing::Table> own_table() const;
+  bool settled(const coordination::Looked& looked);
+  void take_asked(const coordination::Looked& looked, Record& next, Draft& draft) const;
+  void step(const coordination::Looked& looked, Running& running);
   void step_back(Running& running) const;
   void end(Record& next) const;
-  Verdict judge(const duty::Looked& looked, const Running& running, const Span& span) const;
+  Verdict judge(const coordination::Looked& looked, const Running& running, const Span& span) const;
 
   const Duration longest_;
   const unsigned without_;
   Record record_;
   std::string session_;
-  std::optional<routes::Table> table_;  // of the two above
+  std::optional<routing::Table> table_;  // of the two above
   bool busy_ = false;
   std::map<std::string, Time> gone_;   // of the roster: since when it is seen no more
   std::map<std::string, Span> spans_;  // by plan
--- a/src/migration/plan.h
+++ b/src/migration/plan.h
@@ -11,14 +11,14 @@
 #include <string>
 #include <vector>
 
-#include "routes/routes.h"
+#include "routing/routes.h"
 
 namespace yokestream::migration {
 
-using lynxstand::Duration;
-using lynxstand::TableGroupId;
-using lynxstand::Time;
-using Origins = std::map<std::string, routes::Origin>;
+using policy::Duration;
+using policy::TableGroupId;
+using policy::Time;
+using Origins = std::map<std::string, routing::Origin>;
 
 inline constexpr std::size_t kMostMoves = 256, kMostStages = 16, kMostOrigins = 16, kMostAfter = 64;
 inline constexpr std::size_t kMostName = 32;  // of a plan or an origin, characters
@@ -55,9 +55,9 @@
 // nullopt, and one line a problem, each with its path.
 std::optional<Plan> read_plan(const Json::Value& told, std::vector<std::string>& problems);
 Json::Value to_json(const Plan& plan);
-routes::Origin read_origin(const Json::Value& told, const std::string& path,
-                           std::vector<std::string>& problems);
-Json::Value to_json(const routes::Origin& origin);
+routing::Origin read_origin(const Json::Value& told, const std::string& path,
+                            std::vector<std::string>& problems);
+Json::Value to_json(const routing::Origin& origin);
 
 inline std::string item(const std::string& path, std::size_t i) {
   return path + "[" + std::to_string(i) + "]";
--- a/src/migration/read_plan.cpp
+++ b/src/migration/read_plan.cpp
@@ -121,9 +121,9 @@
 
 }  // namespace
 
-routes::Origin read_origin(const Json::Value& told, const std::string& path, Problems& problems) {
+routing::Origin read_origin(const Json::Value& told, const std::string& path, Problems& problems) {
   Fields fields(told, path, problems);
-  routes::Origin origin;
+  routing::Origin origin;
   origin.zones = words(fields, "zones", problems);
   origin.kinds = words(fields, "kinds", problems);
   origin.uids = words(fields, "uids", problems);
@@ -134,7 +134,7 @@
   return origin;
 }
 
-Json::Value to_json(const routes::Origin& origin) {
+Json::Value to_json(const routing::Origin& origin) {
   Json::Value out(Json::objectValue);
   if (!origin.zones.empty()) out["zones"] = to_json(origin.zones);
   if (!origin.kinds.empty()) out["kinds"] = to_json(origin.kinds);
--- a/src/migration/record.cpp
+++ b/src/migration/record.cpp
@@ -118,12 +118,12 @@
   return record.roster.count(session) && first(place_of(record, session, plan), record, share);
 }
 
-std::optional<routes::Table> table_of(const Record& record, const std::string& session) {
+std::optional<routing::Table> table_of(const Record& record, const std::string& session) {
   if (!record.roster.count(session)) return std::nullopt;
-  routes::Table out;
+  routing::Table out;
   out.epoch = record.epoch;
   for (const auto& [area, home] : record.homes) {
-    out.rules[area] = {out.origins.size(), out.origins.size(), 0, routes::Rule::Loads::from};
+    out.rules[area] = {out.origins.size(), out.origins.size(), 0, routing::Rule::Loads::from};
     out.origins.push_back(home.origin);
   }
   for (const Running& running : record.plans) {
@@ -131,7 +131,7 @@
     std::vector<std::uint32_t> moved;  // by stage
     for (const Stage& stage : running.plan.stages)
       moved.push_back(first(place, record, stage.edges)
-                          ? static_cast<std::uint32_t>(std::lround(stage.traffic * routes::Rule::kAll))
+                          ? static_cast<std::uint32_t>(std::lround(stage.traffic * routing::Rule::kAll))
                           : 0);
     std::map<std::string, std::size_t> at;
     for (const auto& [name, origin] : running.plan.origins)
@@ -139,10 +139,10 @@
     for (std::size_t i = 0; i < running.steps.size(); ++i) {
       const Move& move = running.plan.moves[i];
       const std::size_t step = running.steps[i];
-      routes::Rule rule{at[move.from], at[move.to], 0, routes::Rule::Loads::from};
+      routing::Rule rule{at[move.from], at[move.to], 0, routing::Rule::Loads::from};
       if (step > running.plan.stages.size()) {
-        rule.moved = routes::Rule::kAll;
-        rule.loads = step == running.done() ? routes::Rule::Loads::to : routes::Rule::Loads::nowhere;
+        rule.moved = routing::Rule::kAll;
+        rule.loads = step == running.done() ? routing::Rule::Loads::to : routing::Rule::Loads::nowhere;
       } else if (step > 0) {
         rule.moved = moved[step - 1];
       }
--- a/src/migration/record.h
+++ b/src/migration/record.h
@@ -29,7 +29,7 @@
 };
 struct Home {
   std::string name;
-  routes::Origin origin;
+  routing::Origin origin;
   bool operator==(const Home&) const = default;
 };
 struct Record {
@@ -53,7 +53,7 @@
 std::optional<Record> decode_record(std::string_view text);  // nullopt: it makes no sense
 
 // What an edge acts on: nullopt, it is not in the roster. `session`: its own.
-std::optional<routes::Table> table_of(const Record& record, const std::string& session);
+std::optional<routing::Table> table_of(const Record& record, const std::string& session);
 // Whether this edge is among those that a stage moves: in an order of the plan's own, by name.
 bool among_first(const Record& record, const std::string& session, const std::string& plan, double share);
 
--- a/src/migration/status.cpp
+++ b/src/migration/status.cpp
@@ -25,7 +25,7 @@
   return running.steps[i] == 0 && !running.back ? out : "";
 }
 
-std::string gate(const Running& running, const std::map<std::string, duty::Fact>& living) {
+std::string gate(const Running& running, const std::map<std::string, coordination::Fact>& living) {
   if (!running.plan.gate) return "";
   std::vector<std::int64_t> sum;
   add(sum, {}, 1);
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-std::string status(const Record& record, const std::map<std::string, duty::Fact>& living,
+std::string status(const Record& record, const std::map<std::string, coordination::Fact>& living,
                    const std::string& duty, const std::map<std::string, std::string>& asked) {
   std::string out = record.epoch < 0 ? "no owner has written anything yet\n"
                                      : "epoch " + std::to_string(record.epoch) + " of term " +
--- a/src/migration/status.h
+++ b/src/migration/status.h
@@ -4,14 +4,14 @@
 #include <map>
 #include <string>
 
-#include "duty/names.h"
+#include "coordination/names.h"
 #include "migration/record.h"
 
 namespace yokestream::migration {
 
 // `living`: facts by session. `duty`: under which name they acknowledge. `asked`: what the owner has not
 // answered yet. Lines, each with its end.
-std::string status(const Record& record, const std::map<std::string, duty::Fact>& living,
+std::string status(const Record& record, const std::map<std::string, coordination::Fact>& living,
                    const std::string& duty, const std::map<std::string, std::string>& asked);
 
 }  // namespace yokestream::migration
--- a/src/migration/tally.h
+++ b/src/migration/tally.h
@@ -8,12 +8,12 @@
 #include <vector>
 
 #include "migration/plan.h"
-#include "routes/tally.h"
+#include "routing/tally.h"
 
 namespace yokestream::migration {
 
-using routes::Tallies;
-using routes::Tally;
+using routing::Tallies;
+using routing::Tally;
 
 // Both sides of a plan as the numbers that a fact carries, and their sums.
 std::vector<std::int64_t> numbers(const Tally& left, const Tally& taken);
--- a/src/net/client_call.cpp
+++ b/src/net/client_call.cpp
@@ -54,28 +54,28 @@
   return true;
 }
 
-manager::Event call_event(manager::SessionId session, protocol::Call call, Time arrived,
-                          const config::RealSettings& names) {
+dispatch::Event call_event(dispatch::SessionId session, protocol::Call call, Time arrived,
+                           const config::RealSettings& names) {
   const auto bad = [&](std::string problem) {
-    return manager::BadRequest{session, call.id, std::move(problem)};
+    return dispatch::BadRequest{session, call.id, std::move(problem)};
   };
-  manager::Arrived out;
+  dispatch::RequestReceived out;
   out.session = session;
   out.call = call.id;
-  const auto cls = position<lynxstand::ClassId>(names.classes, call.method);
+  const auto cls = position<policy::ClassId>(names.classes, call.method);
   if (!cls) return bad("unknown class");
-  out.cls = *cls;
+  out.query_class = *cls;
   const auto* id = field(call, "req");
   if (!id || !is_request_id(*id)) return bad("bad field req");
   out.request_id = *id;
   const auto* timeout = field(call, "timeout");
   const auto left = timeout ? real(*timeout) : std::nullopt;
-  const Duration most = names.deadlines[static_cast<std::size_t>(out.cls)] + kClockSlack;
+  const Duration most = names.deadlines[static_cast<std::size_t>(out.query_class)] + kClockSlack;
   if (!left || *left <= 0 || *left * 1e6 > static_cast<double>(most.count())) return bad("bad field timeout");
   out.deadline = arrived + Duration(static_cast<Duration::rep>(*left * 1e6));
   if (!names.tenants.empty()) {
     const auto* owner = field(call, "owner");
-    const auto tenant = owner ? position<lynxstand::TenantId>(names.tenants, *owner) : std::nullopt;
+    const auto tenant = owner ? position<policy::TenantId>(names.tenants, *owner) : std::nullopt;
     if (!tenant) return bad("unknown owner");
     out.tenant = *tenant;
   }
@@ -91,29 +91,29 @@
   }
   if (!is_statement(call.body)) return bad("the statement is no text");
   const auto* resent = field(call, "resent");
-  out.repeat = resent && (*resent == "1" || *resent == "true");
-  out.tables = lynxstand::TableGroupId{statement::table_group(call.body).value_or(0)};
+  out.is_retry = resent && (*resent == "1" || *resent == "true");
+  out.table_group = policy::TableGroupId{statement::table_group(call.body).value_or(0)};
   out.statement = std::move(call.body);
   return out;
 }
 
 }  // namespace
 
-manager::Event to_event(manager::SessionId session, protocol::ClientMessage message, Time arrived,
-                        const config::RealSettings& names) {
+dispatch::Event to_event(dispatch::SessionId session, protocol::ClientMessage message, Time arrived,
+                         const config::RealSettings& names) {
   if (auto* call = std::get_if<protocol::Call>(&message)) {
     const bool quote = is_quote(*call, names);
-    manager::Event event = call_event(session, std::move(*call), arrived, names);
+    dispatch::Event event = call_event(session, std::move(*call), arrived, names);
     if (!quote) return event;
-    if (auto* request = std::get_if<manager::Arrived>(&event))
-      return manager::QuoteAsked{std::move(*request)};
+    if (auto* request = std::get_if<dispatch::RequestReceived>(&event))
+      return dispatch::QuoteRequested{std::move(*request)};
     return event;
   }
   if (const auto* probe = std::get_if<protocol::Probe>(&message))
-    return manager::ProbeAsked{session, probe->id};
+    return dispatch::ProbeReceived{session, probe->id};
   if (const auto* bad = std::get_if<protocol::BadCall>(&message))
-    return manager::BadRequest{session, bad->id, bad->problem};
-  return manager::GaveUp{session, std::get<protocol::GiveUp>(message).id};
+    return dispatch::BadRequest{session, bad->id, bad->problem};
+  return dispatch::RequestCancelled{session, std::get<protocol::GiveUp>(message).id};
 }
 
 }  // namespace yokestream::net
--- a/src/net/client_call.h
+++ b/src/net/client_call.h
@@ -3,13 +3,13 @@
 #pragma once
 
 #include "config/settings.h"
-#include "manager/ports.h"
+#include "dispatch/ports.h"
 #include "net/clock.h"
 #include "protocol/msgpack_rpc.h"
 
 namespace yokestream::net {
 
-manager::Event to_event(manager::SessionId session, protocol::ClientMessage message, Time arrived,
-                        const config::RealSettings& names);
+dispatch::Event to_event(dispatch::SessionId session, protocol::ClientMessage message, Time arrived,
+                         const config::RealSettings& names);
 
 }  // namespace yokestream::net
--- a/src/net/client_reading.cpp
+++ b/src/net/client_reading.cpp
@@ -69,7 +69,7 @@
     whole_by_ = Time::max(), buffered_ = {};
   else if (whole_by_ == Time::max())
     whole_by_ = arrived_ + kMessageWithin;
-  return pending <= held || budget_.take(buffered_, pending - held);
+  return pending <= held || budget_.try_reserve(buffered_, pending - held);
 }
 
 void ClientSession::hand_in_next() {
@@ -126,7 +126,7 @@
   due_ = whole_by_;
   return Look::again;
 } catch (const std::exception& problem) {
-  log_.note(std::string("a client connection is closed: ") + problem.what());
+  log_.write(std::string("a client connection is closed: ") + problem.what());
   ending_ = "a fault in what it sent";
   return Look::ended;
 }
@@ -134,14 +134,14 @@
 // Guards the answers that it is owed: nothing more is read, and the core has the connection closed once all
 // that it took of it is answered.
 Watched::Look ClientSession::stop_reading(Time now, const std::string& why) {
-  log_.note("a client is read no more: " + why);
+  log_.write("a client is read no more: " + why);
   ending_ = "a fault in what it sent";
   reading_over_ = true;
   fault_.reset();
   reader_ = {};
   buffered_ = {};
   busy_ = false;
-  inbox_.post(manager::Event(manager::SessionStalled{id_}));
+  inbox_.post(dispatch::Event(dispatch::SessionStalled{id_}));
   due_ = now + kEndLooks;
   return Look::later;
 }
@@ -159,13 +159,13 @@
 
 // Guards against a machine that is short of threads: the client loses nothing, the lobby goes on reading it.
 bool ClientSession::start_reader() try {
-  if (served_ < kServedOften || !readers_.places.take(place_, 1)) return false;
+  if (served_ < kServedOften || !readers_.places.try_reserve(place_, 1)) return false;
   thread_ = Thread("client-read", kSmallStack, [this] {
     bool idled = false;
     try {
       idled = read_busy();
     } catch (const std::exception& problem) {
-      log_.note(std::string("a client connection is closed: ") + problem.what());
+      log_.write(std::string("a client connection is closed: ") + problem.what());
       ending_ = "a fault in what it sent";
     }
     place_ = {};
@@ -174,7 +174,7 @@
   return true;
 } catch (const std::system_error& problem) {
   place_ = {};
-  log_.note(std::string("a client gets no reader of its own: ") + problem.what());
+  log_.write(std::string("a client gets no reader of its own: ") + problem.what());
   return false;
 }
 
--- a/src/net/client_session.cpp
+++ b/src/net/client_session.cpp
@@ -21,9 +21,9 @@
 
 }  // namespace
 
-ClientSession::ClientSession(manager::SessionId id, Fd fd, manager::Reservation slot,
-                             const config::RealSettings& names, manager::Budget& budget, Inbox& inbox,
-                             Readers& readers, manager::Log& log)
+ClientSession::ClientSession(dispatch::SessionId id, Fd fd, dispatch::Reservation slot,
+                             const config::RealSettings& names, dispatch::Budget& budget, Inbox& inbox,
+                             Readers& readers, dispatch::Log& log)
     : id_(id),
       slot_(std::move(slot)),
       names_(names),
@@ -46,7 +46,7 @@
 // by whoever breaks it off first.
 void ClientSession::break_off(const char* why) {
   if (!socket_.broken_off_here() && !sender_.idle())
-    log_.note(std::string("a client connection is broken off with answers unwritten: ") + why);
+    log_.write(std::string("a client connection is broken off with answers unwritten: ") + why);
   sender_.close();
   turns_.close();
   socket_.break_off();
@@ -67,7 +67,7 @@
 }
 
 // Guards against a client that does not read: its answers pile up to the bound, then its connection goes.
-void ClientSession::add(std::string bytes, manager::Reservation held, std::size_t counted) {
+void ClientSession::add(std::string bytes, dispatch::Reservation held, std::size_t counted) {
   if (!sender_.add(Item{std::move(bytes), std::move(held)}, counted)) break_off("its answers are not read");
 }
 
@@ -76,27 +76,27 @@
   add(std::move(bytes), {}, size);
 }
 
-void ClientSession::serve(manager::CallId call, manager::Result result) {
+void ClientSession::serve(dispatch::CallId call, dispatch::Result result) {
   ++served_;
   protocol::Fields fields;
   if (const auto it = quotes_.find(call); it != quotes_.end()) {
     fields = quote_fields(it->second);
     quotes_.erase(it);
   }
-  add(protocol::encode_result(call, result.rows, fields), std::move(result.held), sizeof(Item));
+  add(protocol::encode_result(call, result.rows, fields), std::move(result.memory_reservation), sizeof(Item));
 }
 
 // Of calls that were given up nothing more is heard here: the oldest quotes go.
-void ClientSession::quoted(manager::CallId call, const queues::Quote& quote) {
+void ClientSession::quoted(dispatch::CallId call, const queues::Quote& quote) {
   quotes_[call] = quote;
   if (quotes_.size() > kMostQuotes) quotes_.erase(quotes_.begin());
 }
 
-void ClientSession::answer_quote(manager::CallId call, const queues::Quote& quote) {
+void ClientSession::answer_quote(dispatch::CallId call, const queues::Quote& quote) {
   say(protocol::encode_result(call, "", quote_fields(quote)));
 }
 
-void ClientSession::refuse(manager::CallId call, Duration come_back_after) {
+void ClientSession::refuse(dispatch::CallId call, Duration come_back_after) {
   quotes_.erase(call);
   protocol::Fields fields;
   const auto ms = std::chrono::ceil<std::chrono::milliseconds>(come_back_after).count();
@@ -104,19 +104,19 @@
   say(protocol::encode_error(call, "Shed", fields));
 }
 
-void ClientSession::fail(manager::CallId call, std::string_view why) {
+void ClientSession::fail(dispatch::CallId call, std::string_view why) {
   quotes_.erase(call);
   say(protocol::encode_error(call, "Fault", {{"reason", std::string(why)}}));
 }
 
-void ClientSession::answer_probe(manager::CallId call, bool able) {
+void ClientSession::answer_probe(dispatch::CallId call, bool able) {
   say(protocol::encode_probe_answer(call, able));
 }
 
 void ClientSession::end() {
   const char* why = socket_.broken_off_here() ? "broken off here" : ending_;
   break_off(why);
-  inbox_.post(manager::Event(manager::SessionEnded{id_, why}));
+  inbox_.post(dispatch::Event(dispatch::SessionClosed{id_, why}));
 }
 
 }  // namespace yokestream::net
--- a/src/net/client_session.h
+++ b/src/net/client_session.h
@@ -26,7 +26,7 @@
 // The readers of their own that clients may have, together, and where a client goes that needs none any more;
 // and who writes to clients that are slow.
 struct Readers {
-  manager::Budget places;
+  dispatch::Budget places;
   Poller& lobby;
   Poller& writer;
 };
@@ -34,8 +34,8 @@
 class ClientSession : public Watched, public std::enable_shared_from_this<ClientSession> {
  public:
   // `slot` is its place among the connections that may be there; what it reads is taken from `budget`.
-  ClientSession(manager::SessionId id, Fd fd, manager::Reservation slot, const config::RealSettings& names,
-                manager::Budget& budget, Inbox& inbox, Readers& readers, manager::Log& log);
+  ClientSession(dispatch::SessionId id, Fd fd, dispatch::Reservation slot, const config::RealSettings& names,
+                dispatch::Budget& budget, Inbox& inbox, Readers& readers, dispatch::Log& log);
   ~ClientSession() override;  // breaks off and joins
 
   // For the lobby's thread.
@@ -45,12 +45,12 @@
   void end() override;  // tells the core that it has ended, and why (`ending_`)
 
   // For the core's thread.
-  void serve(manager::CallId call, manager::Result result);
-  void refuse(manager::CallId call, Duration come_back_after);
-  void fail(manager::CallId call, std::string_view why);
-  void answer_probe(manager::CallId call, bool able);
-  void quoted(manager::CallId call, const queues::Quote& quote);  // kept for the answer
-  void answer_quote(manager::CallId call, const queues::Quote& quote);
+  void serve(dispatch::CallId call, dispatch::Result result);
+  void refuse(dispatch::CallId call, Duration come_back_after);
+  void fail(dispatch::CallId call, std::string_view why);
+  void answer_probe(dispatch::CallId call, bool able);
+  void quoted(dispatch::CallId call, const queues::Quote& quote);  // kept for the answer
+  void answer_quote(dispatch::CallId call, const queues::Quote& quote);
   void taken() { turns_.give_back(); }  // the core has taken in one of its messages
   // Nothing more is read or written. `why`: a static text for the log, where answers had not all left.
   void break_off(const char* why);
@@ -62,12 +62,12 @@
  private:
   struct Item {
     std::string bytes;
-    manager::Reservation held;
+    dispatch::Reservation held;
   };
   static constexpr std::size_t kMostQuotes = 64;  // more than the core lets a session have open
   static constexpr int kServedOften = 2;          // who asks once and stays is no busy client
 
-  void add(std::string bytes, manager::Reservation held, std::size_t counted);
+  void add(std::string bytes, dispatch::Reservation held, std::size_t counted);
   void say(std::string bytes);
   enum class Came { nothing, something, end };
   Came read_some();
@@ -85,13 +85,13 @@
   bool start_reader();
   bool read_busy();  // true: it goes back to the lobby, false: it has ended
 
-  const manager::SessionId id_;
-  const manager::Reservation slot_;
+  const dispatch::SessionId id_;
+  const dispatch::Reservation slot_;
   const config::RealSettings& names_;
-  manager::Budget& budget_;
+  dispatch::Budget& budget_;
   Inbox& inbox_;
   Readers& readers_;
-  manager::Log& log_;
+  dispatch::Log& log_;
   Socket socket_;
   Turns turns_;
   std::atomic<int> served_{0};
@@ -99,17 +99,17 @@
   // Whoever reads it owns these.
   protocol::MsgpackReader reader_;
   MessageQueue messages_;
-  std::optional<std::string> fault_;       // what makes no sense, behind the messages ahead of it
-  bool reading_over_ = false;              // nothing more is read; what it is owed still leaves
-  Time end_by_ = Time::max();              // then it goes, though it has not read all
-  manager::Reservation buffered_, place_;  // bytes; among the readers
+  std::optional<std::string> fault_;        // what makes no sense, behind the messages ahead of it
+  bool reading_over_ = false;               // nothing more is read; what it is owed still leaves
+  Time end_by_ = Time::max();               // then it goes, though it has not read all
+  dispatch::Reservation buffered_, place_;  // bytes; among the readers
   Pace pace_;
   Time whole_by_ = Time::max();  // a message that has begun is whole by then
   Time due_ = Time::max();
   Time arrived_{};                    // the last bytes
   std::optional<Time> unread_since_;  // it was not read from then on, though something may have come
-  const char* ending_ = "closed by its client";      // why it ends, as end() tells the core
-  std::map<manager::CallId, queues::Quote> quotes_;  // the core thread's
+  const char* ending_ = "closed by its client";       // why it ends, as end() tells the core
+  std::map<dispatch::CallId, queues::Quote> quotes_;  // the core thread's
   Sender<Item> sender_;
   Thread thread_;  // last: it uses the rest
 };
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -4,12 +4,12 @@
 #include <algorithm>
 #include <chrono>
 
-#include "lynxstand/admission.h"
+#include "yokestream/policy/admission_controller.h"
 
 namespace yokestream::net {
 
-using lynxstand::Duration;
-using lynxstand::Time;
+using policy::Duration;
+using policy::Time;
 
 inline Time now() {
   return Time(std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch()));
--- a/src/net/engine_link.cpp
+++ b/src/net/engine_link.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-EngineLink::EngineLink(manager::LinkId id, const config::Endpoint& endpoint, Time deadline,
+EngineLink::EngineLink(dispatch::EngineConnectionId id, const config::Endpoint& endpoint, Time deadline,
                        const std::vector<std::string>& report_fields, Inbox& inbox, Poller& writer,
                        figures::Figures& figures)
     : id_(id),
@@ -30,7 +30,7 @@
           },
           [](const Item& item) {
             const auto* request = std::get_if<EngineRequest>(&item.what);
-            return request ? request->granted_until : Time::max();
+            return request ? request->lease_expiry : Time::max();
           }) {}
 
 EngineLink::~EngineLink() { break_off(); }
@@ -49,12 +49,12 @@
   if (!sender_.add(std::move(item), bytes)) break_off();  // broken, or an engine that does not read
 }
 
-void EngineLink::send(manager::SendTag tag, EngineRequest request) {
+void EngineLink::send(dispatch::AttemptTag tag, EngineRequest request) {
   const std::size_t bytes = request.statement.size() + 256;
   add(Item{tag, std::move(request)}, bytes);
 }
 
-bool EngineLink::withdraw(manager::SendTag tag) {
+bool EngineLink::withdraw(dispatch::AttemptTag tag) {
   return sender_.withdraw(
       [&](const Item& item) { return item.tag == tag && std::holds_alternative<EngineRequest>(item.what); });
 }
@@ -72,7 +72,7 @@
     return false;
   }
   up_ = true;
-  inbox_.post(manager::Event(manager::LinkUp{id_}));
+  inbox_.post(dispatch::Event(dispatch::EngineConnected{id_}));
   sender_.open();
   return true;
 }
@@ -82,7 +82,7 @@
   reader_.feed(bytes);
   while (auto answer = reader_.next()) {
     whole_by_ = Time::max();
-    inbox_.post(manager::Event(manager::Answered{id_, std::move(*answer)}));
+    inbox_.post(dispatch::Event(dispatch::ResponseReceived{id_, std::move(*answer)}));
   }
   if (reader_.pending() == 0)
     whole_by_ = Time::max();
@@ -112,7 +112,7 @@
 
 void EngineLink::end() {
   break_off();
-  inbox_.post(manager::Event(manager::LinkEnded{id_, failure_.why, !up_ && failure_.local}));
+  inbox_.post(dispatch::Event(dispatch::EngineDisconnected{id_, failure_.why, !up_ && failure_.local}));
 }
 
 }  // namespace yokestream::net
--- a/src/net/engine_link.h
+++ b/src/net/engine_link.h
@@ -19,13 +19,13 @@
 class EngineLink : public Watched, public std::enable_shared_from_this<EngineLink> {
  public:
   // Begins to connect. It never throws and never tells at once: how it went is told by the dock's looks.
-  EngineLink(manager::LinkId id, const config::Endpoint& endpoint, Time deadline,
+  EngineLink(dispatch::EngineConnectionId id, const config::Endpoint& endpoint, Time deadline,
              const std::vector<std::string>& report_fields, Inbox& inbox, Poller& writer,
              figures::Figures& figures);
   ~EngineLink() override;  // breaks off and joins
 
-  void send(manager::SendTag tag, EngineRequest request);
-  bool withdraw(manager::SendTag tag);
+  void send(dispatch::AttemptTag tag, EngineRequest request);
+  bool withdraw(dispatch::AttemptTag tag);
   void say(std::string bytes);
   void break_off();
 
@@ -37,7 +37,7 @@
 
  private:
   struct Item {
-    manager::SendTag tag = 0;
+    dispatch::AttemptTag tag = 0;
     std::variant<EngineRequest, std::string> what;  // a request is worded when it leaves
   };
   static std::string word(const Item& item);
@@ -45,7 +45,7 @@
   bool came_up(bool asked);
   void take(std::string_view bytes);
 
-  const manager::LinkId id_;
+  const dispatch::EngineConnectionId id_;
   const Time up_by_;
   Inbox& inbox_;
   Poller& writer_;
--- a/src/net/events.h
+++ b/src/net/events.h
@@ -5,19 +5,19 @@
 #include <optional>
 #include <variant>
 
+#include "coordination/fleet.h"
+#include "dispatch/ports.h"
 #include "door/settings.h"
-#include "duty/fleet.h"
-#include "manager/ports.h"
 #include "net/queue.h"
 #include "net/socket.h"
 #include "queues/settings.h"
-#include "routes/routes.h"
+#include "routing/routes.h"
 
 namespace yokestream::net {
 
 class ClientSession;
 struct Accepted {  // a new client connection
-  manager::SessionId id{};
+  dispatch::SessionId id{};
   std::uint64_t origin = 0;  // the address that it comes from
   std::shared_ptr<ClientSession> session;
 };
@@ -27,13 +27,13 @@
   queues::Settings queues;
 };
 struct FleetTold {  // which part of the fleet's load this process may count on
-  duty::Fleet::Allowed allowed;
+  coordination::Fleet::Allowed allowed;
 };
-struct RoutesTold {                    // where requests of areas that move may go, before `until`
-  std::optional<routes::Table> table;  // nullopt: nowhere
+struct RoutesTold {                     // where requests of areas that move may go, before `until`
+  std::optional<routing::Table> table;  // nullopt: nowhere
   Time until{};
 };
-using DriverEvent = std::variant<manager::Event, Accepted, Reloaded, FleetTold, RoutesTold>;
+using DriverEvent = std::variant<dispatch::Event, Accepted, Reloaded, FleetTold, RoutesTold>;
 using Inbox = Mailbox<DriverEvent>;
 
 }  // namespace yokestream::net
--- a/src/net/feed_follower.cpp
+++ b/src/net/feed_follower.cpp
@@ -26,7 +26,7 @@
 }  // namespace
 
 FeedFollower::FeedFollower(const std::optional<config::Endpoint>& feed, std::uint64_t last_event,
-                           std::uint64_t seed, Inbox& inbox, manager::Log& log)
+                           std::uint64_t seed, Inbox& inbox, dispatch::Log& log)
     : last_event_(last_event), random_(seed), patience_(kSilence), inbox_(inbox), log_(log), feed_(feed) {
   thread_ = Thread("feed", kLargeStack, [this] { run(); });
 }
@@ -79,7 +79,7 @@
       else
         patience_ = std::min(2 * patience_, kLongestSilence);
     } catch (const std::exception& problem) {
-      log_.note(std::string("the control feed's connection is closed: ") + problem.what());
+      log_.write(std::string("the control feed's connection is closed: ") + problem.what());
     }
     pause(feed);
   }
@@ -89,7 +89,7 @@
 bool FeedFollower::follow_once(const config::Endpoint& feed, Socket& socket) {
   ConnectFailure failure;
   if (!socket.connect(feed, now() + kConnectWithin, &failure)) {
-    log_.note("the control feed: " + failure.why);
+    log_.write("the control feed: " + failure.why);
     return true;
   }
   const std::string subscription = protocol::encode_subscription(to_string(feed), kPath, last_event_);
@@ -110,16 +110,16 @@
       if (number <= last_event_) continue;  // told before
       // Guards against an event that is missing: it is asked for again, once.
       if (!std::exchange(first, false) && number > last_event_ + 1) {
-        log_.note("the control feed left out event " + std::to_string(last_event_ + 1));
+        log_.write("the control feed left out event " + std::to_string(last_event_ + 1));
         return true;
       }
       last_event_ = number;
-      inbox_.post(manager::Event(manager::ListChanged{std::move(members)}));
+      inbox_.post(dispatch::Event(dispatch::EngineListChanged{std::move(members)}));
     }
     if (reader.ended()) break;
   }
-  log_.note("the control feed ended or fell silent; it is asked again for what follows " +
-            std::to_string(last_event_));
+  log_.write("the control feed ended or fell silent; it is asked again for what follows " +
+             std::to_string(last_event_));
   return heard;
 }
 
--- a/src/net/feed_follower.h
+++ b/src/net/feed_follower.h
@@ -21,7 +21,7 @@
  public:
   // Begins with what follows `last_event`. `seed`: for the spread of its pauses. Throws std::system_error.
   FeedFollower(const std::optional<config::Endpoint>& feed, std::uint64_t last_event, std::uint64_t seed,
-               Inbox& inbox, manager::Log& log);
+               Inbox& inbox, dispatch::Log& log);
   ~FeedFollower();  // breaks off and joins
 
   // From any thread, without waiting: from now on this address; none: there is nothing to follow.
@@ -38,7 +38,7 @@
   std::uint64_t random_;
   Duration patience_;
   Inbox& inbox_;
-  manager::Log& log_;
+  dispatch::Log& log_;
 
   std::mutex mutex_;
   std::condition_variable news_;
--- a/src/net/fleet_keeper.cpp
+++ b/src/net/fleet_keeper.cpp
@@ -11,7 +11,7 @@
 namespace yokestream::net {
 namespace {
 
-using duty::Fleet;
+using coordination::Fleet;
 
 constexpr Duration kMeasureEvery = std::chrono::seconds(1);
 constexpr double kTrafficStep = 0.1;                              // weight of one second in the traffic
@@ -28,12 +28,12 @@
 
 }  // namespace
 
-FleetKeeper::FleetKeeper(const config::Config& config, Inbox& inbox, manager::Log& log)
+FleetKeeper::FleetKeeper(const config::Config& config, Inbox& inbox, dispatch::Log& log)
     : inbox_(inbox),
       log_(log),
       mover_(mover_for(config)),
-      fleet_(config.fleet, config.name, "1", config.settings.fronts, now(),
-             mover_ ? std::vector<duty::Duty*>{&*mover_} : std::vector<duty::Duty*>{}),
+      fleet_(config.fleet, config.name, "1", config.settings.manager_count, now(),
+             mover_ ? std::vector<coordination::Duty*>{&*mover_} : std::vector<coordination::Duty*>{}),
       ask_within_(config.fleet.ask),
       client_(config.fleet.store, config.seed, config.fleet.spread),
       measure_at_(now() + kMeasureEvery),
@@ -60,7 +60,7 @@
   raise_event(news_);
 }
 
-void FleetKeeper::tally(const routes::Tallies& tallies) {
+void FleetKeeper::tally(const routing::Tallies& tallies) {
   const std::lock_guard lock(tallied_);
   tallies_ = tallies;
 }
@@ -133,11 +133,11 @@
 }
 
 void FleetKeeper::tell_log() {
-  if (fleet_.trouble() != noted_) log_.note("the fleet: " + (noted_ = fleet_.trouble()));
+  if (fleet_.trouble() != noted_) log_.write("the fleet: " + (noted_ = fleet_.trouble()));
   if (fleet_.owner() == owner_) return;
   owner_ = fleet_.owner();
-  log_.note(owner_ ? "the fleet: this process owns the duty shares, term " + std::to_string(fleet_.term())
-                   : "the fleet: this process owns the duty shares no more");
+  log_.write(owner_ ? "the fleet: this process owns the duty shares, term " + std::to_string(fleet_.term())
+                    : "the fleet: this process owns the duty shares no more");
 }
 
 // Opens what is wanted, and where the last one began no longer fits.
--- a/src/net/fleet_keeper.h
+++ b/src/net/fleet_keeper.h
@@ -1,9 +1,10 @@
-// Keeps this process's place in its fleet: the thread that asks the store what duty::Fleet wants asked, reads
-// its watches, and tells the core which part of the load it may count on and where areas that move may go.
+// Keeps this process's place in its fleet: the thread that asks the store what coordination::Fleet wants
+// asked, reads its watches, and tells the core which part of the load it may count on and where areas that
+// move may go.
 //
-// Only where the operator file switches `fleet` on. Any thread may call. Memory: what duty::Fleet and one
-// reply take. Descriptors: five at most (a call, two watches, an event, one to spare). One thread. A store
-// that is slow or away holds up nobody else.
+// Only where the operator file switches `fleet` on. Any thread may call. Memory: what coordination::Fleet and
+// one reply take. Descriptors: five at most (a call, two watches, an event, one to spare). One thread. A
+// store that is slow or away holds up nobody else.
 #pragma once
 
 #include <array>
@@ -12,7 +13,7 @@
 #include <string>
 
 #include "config/config.h"
-#include "duty/fleet.h"
+#include "coordination/fleet.h"
 #include "migration/mover.h"
 #include "net/events.h"
 #include "net/thread.h"
@@ -26,14 +27,14 @@
   static constexpr std::size_t kDescriptors = 5;
 
   // `told`: managers that the platform tells of. Throws std::system_error.
-  FleetKeeper(const config::Config& config, Inbox& inbox, manager::Log& log);
+  FleetKeeper(const config::Config& config, Inbox& inbox, dispatch::Log& log);
   ~FleetKeeper();  // at once; what leave() has not given back ends with its lease
 
-  void arrived() { ++arrived_; }               // a request, for this process's traffic
-  void applied(std::int64_t epoch);            // the core acts on this table from now on
-  void routed(std::int64_t epoch);             // and keeps wholly to this one's routes
-  void tally(const routes::Tallies& tallies);  // what it counted on the sides of what moves
-  void leave();                                // gives its place and its lease back, as the store allows
+  void arrived() { ++arrived_; }                // a request, for this process's traffic
+  void applied(std::int64_t epoch);             // the core acts on this table from now on
+  void routed(std::int64_t epoch);              // and keeps wholly to this one's routes
+  void tally(const routing::Tallies& tallies);  // what it counted on the sides of what moves
+  void leave();                                 // gives its place and its lease back, as the store allows
 
  private:
   void run();
@@ -47,14 +48,14 @@
   void measure(Time now);
 
   Inbox& inbox_;
-  manager::Log& log_;
+  dispatch::Log& log_;
   std::optional<migration::Mover> mover_;  // where areas may move; its thread only, as the next
-  duty::Fleet fleet_;
+  coordination::Fleet fleet_;
   const Duration ask_within_;
   store::Client client_;
-  std::array<store::Watcher, duty::Fleet::kSlots> watchers_;
-  std::array<std::optional<store::Watch>, duty::Fleet::kSlots> opened_;
-  duty::Fleet::Allowed allowed_;
+  std::array<store::Watcher, coordination::Fleet::kSlots> watchers_;
+  std::array<std::optional<store::Watch>, coordination::Fleet::kSlots> opened_;
+  coordination::Fleet::Allowed allowed_;
   std::string noted_;
   bool owner_ = false;
   std::uint64_t measured_ = 0;
@@ -63,7 +64,7 @@
   std::atomic<std::uint64_t> arrived_{0};
   std::atomic<std::int64_t> applied_{-1}, routed_{-1};
   std::mutex tallied_;  // guards the next
-  routes::Tallies tallies_;
+  routing::Tallies tallies_;
   std::int64_t told_epoch_ = -2;  // of the routes, as the core was told last; -1: closed
   Time told_until_{};
   std::atomic<bool> leaving_{false}, over_{false};
--- a/src/net/hand_over.cpp
+++ b/src/net/hand_over.cpp
@@ -33,7 +33,7 @@
   const Fd file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
   struct stat status {};
   if (!file || ::fstat(file.get(), &status) != 0) return std::nullopt;
-  const auto size = std::min<std::size_t>(static_cast<std::size_t>(status.st_size), learnt::kMostBytes + 1);
+  const auto size = std::min<std::size_t>(static_cast<std::size_t>(status.st_size), snapshot::kMostBytes + 1);
   std::string bytes(size, '\0');
   std::size_t done = 0;
   while (done < size) {
@@ -55,16 +55,16 @@
 
 }  // namespace
 
-std::optional<learnt::Inherited> HandOver::read(const std::string& folder, const config::RealSettings& names,
-                                                manager::Log& log) {
+std::optional<snapshot::RestoredState> HandOver::read(const std::string& folder,
+                                                      const config::RealSettings& names, dispatch::Log& log) {
   const auto bytes = read_all(folder + kFile);
   if (!bytes) return std::nullopt;
-  auto read = learnt::decode(*bytes, names, now());
+  auto read = snapshot::decode(*bytes, names, now());
   if (const auto* why = std::get_if<std::string>(&read)) {
-    log.note("what another process learnt is not taken over: " + *why);
+    log.write("what another process learnt is not taken over: " + *why);
     return std::nullopt;
   }
-  auto& inherited = std::get<learnt::Inherited>(read);
+  auto& inherited = std::get<snapshot::RestoredState>(read);
   if (inherited.age > kOldest) return std::nullopt;
   return std::move(inherited);
 }
@@ -76,16 +76,16 @@
       names_(names),
       items_(1) {
   thread_ = Thread("hand-over", kSmallStack, [this] {
-    while (auto item = items_.take()) write(learnt::encode(std::move(item->learnt), names_, item->at));
+    while (auto item = items_.take()) write(snapshot::encode(std::move(item->learnt), names_, item->at));
   });
 }
 
 HandOver::~HandOver() { items_.close(); }
 
-void HandOver::offer(lynxstand::Learnt learnt) { items_.add(Item{std::move(learnt), now()}, 1); }
+void HandOver::offer(policy::LearnedState learnt) { items_.add(Item{std::move(learnt), now()}, 1); }
 
-void HandOver::write_now(lynxstand::Learnt learnt) const {
-  write(learnt::encode(std::move(learnt), names_, now()));
+void HandOver::write_now(policy::LearnedState learnt) const {
+  write(snapshot::encode(std::move(learnt), names_, now()));
 }
 
 // Whole and synced beside the old one before it takes its place, so that a reader finds the one or the other,
--- a/src/net/hand_over.h
+++ b/src/net/hand_over.h
@@ -10,28 +10,28 @@
 #include <optional>
 #include <string>
 
-#include "learnt/codec.h"
-#include "manager/ports.h"
+#include "dispatch/ports.h"
 #include "net/queue.h"
 #include "net/thread.h"
+#include "snapshot/learned_state_codec.h"
 
 namespace yokestream::net {
 
 class HandOver {
  public:
   // What an earlier process left in `folder`, if it is of use and not older than an hour.
-  static std::optional<learnt::Inherited> read(const std::string& folder, const config::RealSettings& names,
-                                               manager::Log& log);
+  static std::optional<snapshot::RestoredState> read(const std::string& folder,
+                                                     const config::RealSettings& names, dispatch::Log& log);
 
   // `place` tells the processes of one folder apart.
   HandOver(const std::string& folder, int place, const config::RealSettings& names);
   ~HandOver();
-  void offer(lynxstand::Learnt learnt);            // never waits
-  void write_now(lynxstand::Learnt learnt) const;  // on the caller's thread, to its end
+  void offer(policy::LearnedState learnt);            // never waits
+  void write_now(policy::LearnedState learnt) const;  // on the caller's thread, to its end
 
  private:
   struct Item {
-    lynxstand::Learnt learnt;
+    policy::LearnedState learnt;
     Time at{};
   };
   void write(const std::string& bytes) const;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -27,8 +27,8 @@
   raise_event(opened_);
 }
 
-Listener::Listener(const config::Config& config, const Gate& gate, manager::Budget& slots,
-                   manager::Budget& budget, Inbox& inbox, Readers& readers, manager::Log& log)
+Listener::Listener(const config::Config& config, const Gate& gate, dispatch::Budget& slots,
+                   dispatch::Budget& budget, Inbox& inbox, Readers& readers, dispatch::Log& log)
     : fd_(config.listen_fd ? inherited_listener(*config.listen_fd) : listen_on(config.listen)),
       over_(::eventfd(0, EFD_CLOEXEC)),
       gate_(gate),
@@ -61,8 +61,8 @@
   while (true) {
     // Guards the descriptors that links to engines need: who is one too many waits to be accepted, and the
     // core closes idle connections before it comes to that.
-    manager::Reservation slot;
-    if (!slots_.take(slot, 1)) {
+    dispatch::Reservation slot;
+    if (!slots_.try_reserve(slot, 1)) {
       if (!wait_until(now() + kDescriptorPause, nullptr)) return;
       continue;
     }
@@ -75,7 +75,7 @@
       setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
       // Guards the time limits: a request counts from its last byte, so it is read from here on and does
       // not wait for a busy core. The core hears of the session first, and so of its requests later.
-      const manager::SessionId id{++last_session_};
+      const dispatch::SessionId id{++last_session_};
       const auto session = std::make_shared<ClientSession>(id, std::move(fd), std::move(slot), names_,
                                                            budget_, inbox_, readers_, log_);
       inbox_.post(Accepted{id, from.sin_addr.s_addr, session});
@@ -86,7 +86,7 @@
     // Guards against an end of descriptors or memory: who waits is accepted when some are free again.
     const int error = errno;
     const bool passing = error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM;
-    if (passing && !std::exchange(short_of, true)) log_.note("no descriptor is free for a new connection");
+    if (passing && !std::exchange(short_of, true)) log_.write("no descriptor is free for a new connection");
     const bool gone = error == EAGAIN || error == EINTR || error == ECONNABORTED;  // it left before its turn
     if (!gone && !wait_until(now() + kDescriptorPause, nullptr)) return;
   }
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -31,8 +31,8 @@
 class Listener {
  public:
   // `slots`: connections that may be there at once; it outlives them, as the listener does not.
-  Listener(const config::Config& config, const Gate& gate, manager::Budget& slots, manager::Budget& budget,
-           Inbox& inbox, Readers& readers, manager::Log& log);
+  Listener(const config::Config& config, const Gate& gate, dispatch::Budget& slots, dispatch::Budget& budget,
+           Inbox& inbox, Readers& readers, dispatch::Log& log);
   ~Listener();
   config::Endpoint endpoint() const { return local_endpoint(fd_); }
 
@@ -43,11 +43,11 @@
   Fd fd_, over_;  // over_: can be read once all is over
   const Gate& gate_;
   const config::RealSettings& names_;
-  manager::Budget& budget_;
-  manager::Budget& slots_;
+  dispatch::Budget& budget_;
+  dispatch::Budget& slots_;
   Inbox& inbox_;
   Readers& readers_;
-  manager::Log& log_;
+  dispatch::Log& log_;
   std::uint64_t last_session_ = 0;
   Thread thread_;  // last: it uses the rest
 };
--- a/src/net/management.h
+++ b/src/net/management.h
@@ -14,8 +14,8 @@
 #include <functional>
 #include <memory>
 
+#include "dispatch/ports.h"
 #include "figures/figures.h"
-#include "manager/ports.h"
 #include "net/poller.h"
 #include "protocol/management_call.h"
 
--- a/src/net/pace.h
+++ b/src/net/pace.h
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "lynxstand/admission.h"
+#include "yokestream/policy/admission_controller.h"
 
 namespace yokestream::net {
 
@@ -11,8 +11,8 @@
 // at a steady pace. A client that is served is never slowed.
 class Pace {
  public:
-  using Time = lynxstand::Time;
-  using Duration = lynxstand::Duration;
+  using Time = policy::Time;
+  using Duration = policy::Duration;
   Pace(int burst, Duration between) : burst_(burst * between), between_(between) {}
 
   // When the next message may be taken in; `now` where that is at once.
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -20,14 +20,16 @@
 constexpr Duration kLastLooks = milliseconds(10);  // at what is not settled yet
 
 // Whose message it is, if a client's.
-std::optional<manager::SessionId> sender_of(const manager::Event& event) {
+std::optional<dispatch::SessionId> sender_of(const dispatch::Event& event) {
   return std::visit(
-      [](const auto& e) -> std::optional<manager::SessionId> {
+      [](const auto& e) -> std::optional<dispatch::SessionId> {
         using E = std::decay_t<decltype(e)>;
-        if constexpr (std::is_same_v<E, manager::Arrived> || std::is_same_v<E, manager::BadRequest> ||
-                      std::is_same_v<E, manager::GaveUp> || std::is_same_v<E, manager::ProbeAsked>)
+        if constexpr (std::is_same_v<E, dispatch::RequestReceived> ||
+                      std::is_same_v<E, dispatch::BadRequest> ||
+                      std::is_same_v<E, dispatch::RequestCancelled> ||
+                      std::is_same_v<E, dispatch::ProbeReceived>)
           return e.session;
-        else if constexpr (std::is_same_v<E, manager::QuoteAsked>)
+        else if constexpr (std::is_same_v<E, dispatch::QuoteRequested>)
           return e.request.session;
         else
           return std::nullopt;
@@ -36,13 +38,13 @@
 }
 
 bool shares(const config::Config& config) { return config.listen_fd && !config.shared_folder.empty(); }
-std::optional<learnt::Inherited> handed_down(const config::Config& config, manager::Log& log) {
+std::optional<snapshot::RestoredState> handed_down(const config::Config& config, dispatch::Log& log) {
   return shares(config) ? HandOver::read(config.shared_folder, config.real, log) : std::nullopt;
 }
 
 }  // namespace
 
-Server::Server(const config::Config& config, manager::Log& log)
+Server::Server(const config::Config& config, dispatch::Log& log)
     : config_(config),
       log_(log),
       budget_(config.limits.memory_mb * 1024 * 1024 / kBudgetShare),
@@ -51,7 +53,7 @@
       dock_("dock"),
       lobby_("lobby"),
       writer_("writer"),
-      readers_{manager::Budget(kMostReaders), lobby_, writer_},
+      readers_{dispatch::Budget(kMostReaders), lobby_, writer_},
       manager_(config, now(), from_unix_ms, budget_, *this, *this, log, handed_down(config, log)) {
   feed_ = std::make_unique<FeedFollower>(config.feed, config.known_number, config.seed, inbox_, log);
   listener_ = std::make_unique<Listener>(config, gate_, slots_, budget_, inbox_, readers_, log);
@@ -65,7 +67,7 @@
   if (config.fleet.on) keeper_.emplace(config, inbox_, log);
   if (config.management)
     management_ =
-        std::make_unique<Management>(*config.management, manager_.figures(), [this] { open_gate(); });
+        std::make_unique<Management>(*config.management, manager_.metrics(), [this] { open_gate(); });
   core_ = Thread("core", kLargeStack, [this] { run(); });
 }
 
@@ -93,7 +95,7 @@
   if (together_) together_->say_yes();
 }
 
-void Server::leave() { inbox_.post(manager::Event(manager::Leave{})); }
+void Server::leave() { inbox_.post(dispatch::Event(dispatch::BeginShutdown{})); }
 
 void Server::wait() { core_.join(); }
 
@@ -104,13 +106,13 @@
   if (management_) {
     const bool wanted = management_->evacuated();
     if (std::exchange(evacuated_, wanted) != wanted) {
-      manager_.handle(now(), evacuated_ ? manager::Event(manager::Evacuate{}) : manager::Activate{});
-      log_.note(evacuated_ ? "clients are sent away" : "clients are wanted back");
+      manager_.handle(now(), evacuated_ ? dispatch::Event(dispatch::StartDraining{}) : dispatch::Resume{});
+      log_.write(evacuated_ ? "clients are sent away" : "clients are wanted back");
     }
-    const auto& service = manager_.service();
-    management_->publish(service.leaving()    ? Management::Standing::leaving
-                         : service.says_yes() ? Management::Standing::ready
-                                              : Management::Standing::draining);
+    const auto& service = manager_.lifecycle();
+    management_->publish(service.is_shutting_down() ? Management::Standing::leaving
+                         : service.is_ready()       ? Management::Standing::ready
+                                                    : Management::Standing::draining);
   }
   if (together_ && now() >= next_look_) look_at_others();
 }
@@ -118,9 +120,9 @@
 void Server::run() {
   while (true) {
     const Time time = now();
-    const Time end_by = manager_.service().end_by();
-    if (manager_.left(time) || (end_by != Time::max() && time >= end_by + kLastWrites)) break;
-    if (listener_ && !manager_.service().listens(time)) undertaker_.bury(std::move(listener_));
+    const Time end_by = manager_.lifecycle().shutdown_deadline();
+    if (manager_.shutdown_complete(time) || (end_by != Time::max() && time >= end_by + kLastWrites)) break;
+    if (listener_ && !manager_.lifecycle().accepts_connections(time)) undertaker_.bury(std::move(listener_));
     heed_operators();
     if (keeper_) look_at_part(), look_at_routes();
     auto events = inbox_.take_until(manager_.next_due());
@@ -141,15 +143,15 @@
   const Time ended = now();
   if (ended - began < kSlowTurn || ended < next_slow_note_) return;
   next_slow_note_ = ended + std::chrono::seconds(1);
-  log_.note("the core took " + std::to_string((ended - began) / milliseconds(1)) + " ms for " +
-            std::to_string(events) + " events, with " + std::to_string(manager_.open_requests()) +
-            " requests open");
+  log_.write("the core took " + std::to_string((ended - began) / milliseconds(1)) + " ms for " +
+             std::to_string(events) + " events, with " + std::to_string(manager_.open_requests()) +
+             " requests open");
 }
 
 void Server::take(DriverEvent event) {
   if (auto* accepted = std::get_if<Accepted>(&event)) {
     sessions_.emplace(accepted->id, std::move(accepted->session));
-    return manager_.handle(now(), manager::SessionBegan{accepted->id, accepted->origin});
+    return manager_.handle(now(), dispatch::SessionOpened{accepted->id, accepted->origin});
   }
   if (const auto* reloaded = std::get_if<Reloaded>(&event)) {
     manager_.configure(now(), reloaded->door);
@@ -161,22 +163,22 @@
     return;
   }
   if (const auto* routes = std::get_if<RoutesTold>(&event)) return take(*routes);
-  auto& told = std::get<manager::Event>(event);
-  if (keeper_ && std::holds_alternative<manager::Arrived>(told)) keeper_->arrived();
-  if (auto* leave = std::get_if<manager::Leave>(&told)) {
+  auto& told = std::get<dispatch::Event>(event);
+  if (keeper_ && std::holds_alternative<dispatch::RequestReceived>(told)) keeper_->arrived();
+  if (auto* leave = std::get_if<dispatch::BeginShutdown>(&told)) {
     if (management_) management_->publish(Management::Standing::leaving);  // no yes once the word is out
     *leave = leave_as();
     if (together_) together_->step_down();
     if (keeper_) keeper_->leave();
-    log_.note(leave->successor ? "another process serves from now on" : "nobody else serves here");
+    log_.write(leave->has_successor ? "another process serves from now on" : "nobody else serves here");
   }
   const auto sender = sender_of(told);
-  if (const auto* session = std::get_if<manager::SessionEnded>(&told)) {
+  if (const auto* session = std::get_if<dispatch::SessionClosed>(&told)) {
     const auto id = session->session;
     manager_.handle(now(), std::move(told));
     if (auto ended = sessions_.extract(id)) undertaker_.bury(std::move(ended.mapped()));
-  } else if (const auto* link = std::get_if<manager::LinkEnded>(&told)) {
-    const auto id = link->link;
+  } else if (const auto* link = std::get_if<dispatch::EngineDisconnected>(&told)) {
+    const auto id = link->connection;
     manager_.handle(now(), std::move(told));
     close(id);
   } else {
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -6,7 +6,7 @@
 #include <optional>
 
 #include "config/config.h"
-#include "manager/manager.h"
+#include "dispatch/dispatcher.h"
 #include "net/client_session.h"
 #include "net/engine_link.h"
 #include "net/events.h"
@@ -21,9 +21,9 @@
 
 namespace yokestream::net {
 
-class Server : private manager::ClientPort, private manager::EnginePort {
+class Server : private dispatch::ClientPort, private dispatch::EnginePort {
  public:
-  Server(const config::Config& config, manager::Log& log);  // throws std::system_error; serves from then on
+  Server(const config::Config& config, dispatch::Log& log);  // throws std::system_error; serves from then on
   ~Server();
   config::Endpoint endpoint() const { return listener_->endpoint(); }
   void reload(const config::Config& config);           // the feed, what may change of the door, the teams
@@ -43,55 +43,55 @@
   void look_at_part();
   void take(const RoutesTold& told);
   void look_at_routes();
-  manager::Leave leave_as() const;
+  dispatch::BeginShutdown leave_as() const;
 
-  void serve(manager::SessionId session, manager::CallId call, manager::Result result) override;
-  void refuse(manager::SessionId session, manager::CallId call, Duration come_back_after) override;
-  void fail(manager::SessionId session, manager::CallId call, std::string_view why) override;
-  void answer_probe(manager::SessionId session, manager::CallId call, bool able) override;
-  void quoted(manager::SessionId session, manager::CallId call, const queues::Quote& quote) override;
-  void answer_quote(manager::SessionId session, manager::CallId call, const queues::Quote& quote) override;
-  void close(manager::SessionId session) override;
-  bool close_idle(manager::SessionId session) override;
-  void finish(manager::SessionId session) override;
-  bool has_left(manager::SessionId session) override;
+  void send_result(dispatch::SessionId session, dispatch::CallId call, dispatch::Result result) override;
+  void send_rejection(dispatch::SessionId session, dispatch::CallId call, Duration come_back_after) override;
+  void send_failure(dispatch::SessionId session, dispatch::CallId call, std::string_view why) override;
+  void send_readiness(dispatch::SessionId session, dispatch::CallId call, bool able) override;
+  void attach_quote(dispatch::SessionId session, dispatch::CallId call, const queues::Quote& quote) override;
+  void send_quote(dispatch::SessionId session, dispatch::CallId call, const queues::Quote& quote) override;
+  void close(dispatch::SessionId session) override;
+  bool close_if_idle(dispatch::SessionId session) override;
+  void close_after_responses(dispatch::SessionId session) override;
+  bool has_disconnected(dispatch::SessionId session) override;
 
-  void open(manager::LinkId link, const config::Endpoint& endpoint, Time deadline) override;
-  void send(manager::LinkId link, manager::SendTag tag, EngineRequest request) override;
-  bool withdraw(manager::LinkId link, manager::SendTag tag) override;
-  void stop(manager::LinkId link, std::string_view id) override;
-  void hello(manager::LinkId link, std::string_view tag) override;
-  void nice(manager::LinkId link, std::string_view id, std::uint32_t band) override;
-  void fetch(manager::LinkId link, std::string_view id, std::uint32_t page) override;
-  void end(manager::LinkId link, std::string_view id) override;
-  void close(manager::LinkId link) override;
+  void connect(dispatch::EngineConnectionId link, const config::Endpoint& endpoint, Time deadline) override;
+  void send(dispatch::EngineConnectionId link, dispatch::AttemptTag tag, EngineRequest request) override;
+  bool withdraw(dispatch::EngineConnectionId link, dispatch::AttemptTag tag) override;
+  void cancel(dispatch::EngineConnectionId link, std::string_view id) override;
+  void ping(dispatch::EngineConnectionId link, std::string_view tag) override;
+  void set_priority(dispatch::EngineConnectionId link, std::string_view id, std::uint32_t band) override;
+  void fetch_page(dispatch::EngineConnectionId link, std::string_view id, std::uint32_t page) override;
+  void release_result(dispatch::EngineConnectionId link, std::string_view id) override;
+  void close(dispatch::EngineConnectionId link) override;
 
-  ClientSession* find(manager::SessionId session);
-  EngineLink* find(manager::LinkId link);
+  ClientSession* find(dispatch::SessionId session);
+  EngineLink* find(dispatch::EngineConnectionId link);
 
   const config::Config& config_;
-  manager::Log& log_;
-  manager::Budget budget_, slots_;  // bytes; client connections
+  dispatch::Log& log_;
+  dispatch::Budget budget_, slots_;  // bytes; client connections
   Inbox inbox_;
   // Before all that holds connections: engines and clients are read there, slow ones of both written to.
   Poller dock_, lobby_, writer_;
   Readers readers_;
   Undertaker undertaker_;
-  std::map<manager::SessionId, std::shared_ptr<ClientSession>> sessions_;  // the core's thread only
-  std::map<manager::LinkId, std::shared_ptr<EngineLink>> links_;           // the core's thread only
+  std::map<dispatch::SessionId, std::shared_ptr<ClientSession>> sessions_;     // the core's thread only
+  std::map<dispatch::EngineConnectionId, std::shared_ptr<EngineLink>> links_;  // the core's thread only
   Time next_slow_note_{};
-  manager::Manager manager_;
+  dispatch::Dispatcher manager_;
   std::unique_ptr<FeedFollower> feed_;
   Gate gate_;
   std::unique_ptr<Listener> listener_;
-  std::optional<Together> together_;     // where processes may share the listener
-  std::optional<HandOver> hand_over_;    // the same
-  Time next_look_{}, next_hand_over_{};  // at the others; the core's thread only
-  std::optional<FleetKeeper> keeper_;    // where the fleet shares a store
-  duty::Fleet::Allowed allowed_;         // the core's thread only, as the next: what it says
-  duty::Part part_ = 0;                  // and what the core acts on
-  std::int64_t applied_ = -1;            // the same: the table that says so
-  std::int64_t routed_ = -1;             // and the routes that it keeps to
+  std::optional<Together> together_;      // where processes may share the listener
+  std::optional<HandOver> hand_over_;     // the same
+  Time next_look_{}, next_hand_over_{};   // at the others; the core's thread only
+  std::optional<FleetKeeper> keeper_;     // where the fleet shares a store
+  coordination::Fleet::Allowed allowed_;  // the core's thread only, as the next: what it says
+  coordination::Part part_ = 0;           // and what the core acts on
+  std::int64_t applied_ = -1;             // the same: the table that says so
+  std::int64_t routed_ = -1;              // and the routes that it keeps to
   Time next_tally_{};
   bool alone_ = false;                      // the core's thread only, as the next: others have gone
   bool evacuated_ = false;                  // the core's thread only: the wish that it has carried out
--- a/src/net/server_ports.cpp
+++ b/src/net/server_ports.cpp
@@ -4,83 +4,83 @@
 
 namespace yokestream::net {
 
-ClientSession* Server::find(manager::SessionId session) {
+ClientSession* Server::find(dispatch::SessionId session) {
   const auto it = sessions_.find(session);
   return it == sessions_.end() ? nullptr : it->second.get();
 }
-EngineLink* Server::find(manager::LinkId link) {
+EngineLink* Server::find(dispatch::EngineConnectionId link) {
   const auto it = links_.find(link);
   return it == links_.end() ? nullptr : it->second.get();
 }
 
-void Server::serve(manager::SessionId session, manager::CallId call, manager::Result result) {
+void Server::send_result(dispatch::SessionId session, dispatch::CallId call, dispatch::Result result) {
   if (auto* s = find(session)) s->serve(call, std::move(result));
 }
-void Server::refuse(manager::SessionId session, manager::CallId call, Duration come_back_after) {
+void Server::send_rejection(dispatch::SessionId session, dispatch::CallId call, Duration come_back_after) {
   if (auto* s = find(session)) s->refuse(call, come_back_after);
 }
-void Server::fail(manager::SessionId session, manager::CallId call, std::string_view why) {
+void Server::send_failure(dispatch::SessionId session, dispatch::CallId call, std::string_view why) {
   if (auto* s = find(session)) s->fail(call, why);
 }
-void Server::quoted(manager::SessionId session, manager::CallId call, const queues::Quote& quote) {
+void Server::attach_quote(dispatch::SessionId session, dispatch::CallId call, const queues::Quote& quote) {
   if (!config_.real.quote_method) return;
   if (auto* s = find(session)) s->quoted(call, quote);
 }
 
-void Server::answer_quote(manager::SessionId session, manager::CallId call, const queues::Quote& quote) {
+void Server::send_quote(dispatch::SessionId session, dispatch::CallId call, const queues::Quote& quote) {
   if (auto* s = find(session)) s->answer_quote(call, quote);
 }
 
-void Server::answer_probe(manager::SessionId session, manager::CallId call, bool able) {
+void Server::send_readiness(dispatch::SessionId session, dispatch::CallId call, bool able) {
   if (auto* s = find(session)) s->answer_probe(call, able);
 }
-void Server::close(manager::SessionId session) {
+void Server::close(dispatch::SessionId session) {
   if (auto* s = find(session)) s->break_off("closed by the core");
 }
 
-bool Server::close_idle(manager::SessionId session) {
+bool Server::close_if_idle(dispatch::SessionId session) {
   auto* s = find(session);
   return s && s->break_off_idle();
 }
 
-void Server::finish(manager::SessionId session) {
+void Server::close_after_responses(dispatch::SessionId session) {
   if (auto* s = find(session)) s->finish();
 }
 
-bool Server::has_left(manager::SessionId session) {
+bool Server::has_disconnected(dispatch::SessionId session) {
   const auto* s = find(session);
   return s && s->client_has_left();
 }
 
-void Server::open(manager::LinkId link, const config::Endpoint& endpoint, Time deadline) {
+void Server::connect(dispatch::EngineConnectionId link, const config::Endpoint& endpoint, Time deadline) {
   const auto opened = std::make_shared<EngineLink>(link, endpoint, deadline, config_.real.report_fields,
-                                                   inbox_, writer_, manager_.figures());
+                                                   inbox_, writer_, manager_.metrics());
   links_.emplace(link, opened);
   dock_.admit(opened);
 }
-void Server::send(manager::LinkId link, manager::SendTag tag, EngineRequest request) {
+void Server::send(dispatch::EngineConnectionId link, dispatch::AttemptTag tag, EngineRequest request) {
   if (auto* l = find(link)) l->send(tag, std::move(request));
 }
-bool Server::withdraw(manager::LinkId link, manager::SendTag tag) {
+bool Server::withdraw(dispatch::EngineConnectionId link, dispatch::AttemptTag tag) {
   auto* l = find(link);
   return l && l->withdraw(tag);
 }
-void Server::stop(manager::LinkId link, std::string_view id) {
+void Server::cancel(dispatch::EngineConnectionId link, std::string_view id) {
   if (auto* l = find(link)) l->say(protocol::encode_stop(id));
 }
-void Server::hello(manager::LinkId link, std::string_view tag) {
+void Server::ping(dispatch::EngineConnectionId link, std::string_view tag) {
   if (auto* l = find(link)) l->say(protocol::encode_hello(tag));
 }
-void Server::nice(manager::LinkId link, std::string_view id, std::uint32_t band) {
+void Server::set_priority(dispatch::EngineConnectionId link, std::string_view id, std::uint32_t band) {
   if (auto* l = find(link)) l->say(protocol::encode_nice(id, band));
 }
-void Server::fetch(manager::LinkId link, std::string_view id, std::uint32_t page) {
+void Server::fetch_page(dispatch::EngineConnectionId link, std::string_view id, std::uint32_t page) {
   if (auto* l = find(link)) l->say(protocol::encode_fetch(id, page));
 }
-void Server::end(manager::LinkId link, std::string_view id) {
+void Server::release_result(dispatch::EngineConnectionId link, std::string_view id) {
   if (auto* l = find(link)) l->say(protocol::encode_end(id));
 }
-void Server::close(manager::LinkId link) {
+void Server::close(dispatch::EngineConnectionId link) {
   if (auto closed = links_.extract(link)) closed.mapped()->break_off();  // the dock may hold it still
 }
 
--- a/src/operator/operator_file.h
+++ b/src/operator/operator_file.h
@@ -28,7 +28,7 @@
   LogSettings log;
   door::Settings door;
   queues::Settings queues;
-  duty::Settings fleet;
+  coordination::Settings fleet;
   std::vector<Value> values;
 };
 
--- a/src/operator/read_fleet.cpp
+++ b/src/operator/read_fleet.cpp
@@ -18,22 +18,22 @@
   return out;
 }
 
-std::vector<lynxstand::TableGroupId> read_areas(const Json::Value& told, const std::string& path) {
+std::vector<policy::TableGroupId> read_areas(const Json::Value& told, const std::string& path) {
   if (!told.isNull() && !told.isArray()) throw config::ConfigError(path, "not a list of areas");
   if (told.size() > kMostAreas) throw config::ConfigError(path, "more than 1024 areas");
-  std::vector<lynxstand::TableGroupId> out;
+  std::vector<policy::TableGroupId> out;
   for (Json::ArrayIndex i = 0; i < told.size(); ++i) {
     if (!told[i].isUInt64()) throw config::ConfigError(fmt::format("{}[{}]", path, i), "not a whole number");
-    out.push_back(lynxstand::TableGroupId{told[i].asUInt64()});
+    out.push_back(policy::TableGroupId{told[i].asUInt64()});
   }
   return out;
 }
 
 }  // namespace
 
-duty::Settings read_fleet(const Json::Value& told, std::vector<Value>& values) {
+coordination::Settings read_fleet(const Json::Value& told, std::vector<Value>& values) {
   Section section(told, "fleet", values);
-  duty::Settings fleet;
+  coordination::Settings fleet;
   fleet.on = section.flag("on", fleet.on);
   fleet.store = read_addresses(section.at("store"), section.path("store"));
   fleet.areas = read_areas(section.at("areas"), section.path("areas"));
--- a/src/operator/section.h
+++ b/src/operator/section.h
@@ -80,14 +80,14 @@
 
 // The platform's clients heed no longer advice than it says.
 inline door::Duration heeded(door::Duration hint, const config::Config& platform) {
-  const auto most = platform.settings.most_wait_advice;
-  return platform.settings.may_advise_wait && most > door::Duration{} ? std::min(hint, most) : hint;
+  const auto most = platform.settings.max_retry_after;
+  return platform.settings.may_send_retry_after && most > door::Duration{} ? std::min(hint, most) : hint;
 }
 
 // The sections, each in a file of its own.
 door::Settings read_door(const Json::Value& told, const config::Config& platform, std::vector<Value>& values);
 queues::Settings read_queues(const Json::Value& told, const config::Config& platform,
                              std::vector<Value>& values);
-duty::Settings read_fleet(const Json::Value& told, std::vector<Value>& values);
+coordination::Settings read_fleet(const Json::Value& told, std::vector<Value>& values);
 
 }  // namespace yokestream::operator_file
--- a/src/planner/planner.cpp
+++ b/src/planner/planner.cpp
@@ -130,7 +130,7 @@
   return out;
 }
 
-std::string to_jsonnet(const Question& question, const Proposal& proposal, lynxstand::Duration span) {
+std::string to_jsonnet(const Question& question, const Proposal& proposal, policy::Duration span) {
   const double span_s = std::chrono::duration<double>(span).count();
   std::string out = "// Proposed by `yokestream plan`: merge it into the operator file.\n";
   out += fmt::format("// Engines give {:.2f} engine-seconds a second; this is worth {:.1f} a second.\n",
--- a/src/planner/planner.h
+++ b/src/planner/planner.h
@@ -46,6 +46,6 @@
                                     const std::vector<std::string>& classes,
                                     const std::vector<std::size_t>& team_of);
 // The proposal as a part of an operator file, Jsonnet; floors that cannot be met are told in comments.
-std::string to_jsonnet(const Question& question, const Proposal& proposal, lynxstand::Duration span);
+std::string to_jsonnet(const Question& question, const Proposal& proposal, policy::Duration span);
 
 }  // namespace yokestream::planner
--- a/src/policy/choice.cpp
+++ b/src/policy/choice.cpp
@@ -1,7 +1,7 @@
 // Where a query goes: which engines have room, which of them is best, how long it may take.
 #include "impl.h"
 
-namespace lynxstand {
+namespace yokestream::policy {
 namespace {
 
 constexpr double kTie = 0.10;        // share: estimates this close are one; fewer threads a core decide
@@ -53,12 +53,12 @@
 }
 
 bool AdmissionController::Impl::sees_others() const {
-  return s.fronts > 1 && (s.may_message || pool_others > 0);
+  return s.manager_count > 1 && (s.may_message || pool_others > 0);
 }
 
 double AdmissionController::Impl::grant(const Query& q, const Engine& e) const {
-  const double want = q.told.memory_mb * classes[pos(q.told.cls)].memory_factor;
-  return e.memory > 0 ? std::min(want, e.memory * s.most_grant) : want;
+  const double want = q.told.memory_mb * classes[pos(q.told.query_class)].memory_factor;
+  return e.memory > 0 ? std::min(want, e.memory * s.max_memory_grant_ratio) : want;
 }
 
 // Danger: engines fill unseen by a front of many, until they page or thrash. Where probes tell more, a
@@ -72,12 +72,12 @@
 bool AdmissionController::Impl::look_around(Query& q) {
   if (!probes || now + 2 * kTick >= q.deadline) return false;    // who comes with little time left can't wait
   const double calm = 1 - pool_others / (kLookFrom * kFullAll);  // then a light query finds room without
-  if (!q.looked && q.work < mean_work && draw() < calm) return false;
+  if (!q.looked && q.work < mean_work_s && draw() < calm) return false;
   if (q.looked && now - *q.looked < kLookAgain) return now < *q.looked + kTick && probes_out > 0;
   q.looked = now;
   std::vector<Engine*> open;
   for (auto& [name, e] : engines) {
-    const bool due = !e.shunned || now >= e.trial_at;  // a probe is a trial that costs no query
+    const bool due = !e.ejected || now >= e.trial_at;  // a probe is a trial that costs no query
     if (due && may_send(q, e) && seconds(now - std::max(e.others_at, e.probed)) > kViewFresh)
       open.push_back(&e);
   }
@@ -93,7 +93,7 @@
   std::size_t up = 0, healthy = 0;
   for (const auto& [name, e] : engines) {
     if (e.entry.state != EngineState::up || !permitted(q.told, cls(q), e.entry)) continue;
-    ++up, healthy += !e.shunned;
+    ++up, healthy += !e.ejected;
   }
   // Danger: a fault of this front or of the path makes all engines look bad; shunning all serves nobody.
   const bool doubt = static_cast<double>(healthy) < kSpread * static_cast<double>(up);
@@ -104,9 +104,9 @@
   for (auto& [name, e] : engines) {
     if (!may_send(q, e)) continue;
     // the trial query to return must be one that can be repeated and has not failed before
-    const bool trial = e.shunned && now >= e.trial_at && e.running.empty() && q.attempts.empty() &&
-                       cls(q).repeatable == Repeatable::always;
-    if (e.shunned && !trial && !doubt) continue;
+    const bool trial = e.ejected && now >= e.trial_at && e.running.empty() && q.attempts.empty() &&
+                       cls(q).idempotency == Idempotency::idempotent;
+    if (e.ejected && !trial && !doubt) continue;
     const double est = estimate(q, e);
     best.anywhere = true;
     if (est < best.least) best.least = est, best.quickest = &e;
@@ -135,8 +135,8 @@
   // nothing. The usual error of such estimates is kept free, the engine's own, lest a slow one make all
   // refuse.
   if (q.over_share) return 0;
-  const double margin = kMargin * e.error[pos(q.told.cls)] * unloaded(q);
+  const double margin = kMargin * e.mean_error[pos(q.told.query_class)] * unloaded(q);
   return seconds(std::min(q.aim, q.deadline) - now) - margin;
 }
 
-}  // namespace lynxstand
+}  // namespace yokestream::policy
--- a/src/policy/engines.cpp
+++ b/src/policy/engines.cpp
@@ -1,7 +1,7 @@
 // The list of engines, and the sums over it.
 #include "impl.h"
 
-namespace lynxstand {
+namespace yokestream::policy {
 namespace {
 
 constexpr Duration kLoadOverdue = milliseconds(3000);   // past its estimate: the end of a load is lost
@@ -12,9 +12,10 @@
 }  // namespace
 
 void AdmissionController::Impl::on(const EngineList& list) {
-  if (list.kind == ListKind::failed)
-    return act(WakeAfter{std::max<Duration>(kFollowLeast, s.ask_within / kFollowParts), 1});
-  if (list.kind != ListKind::changes) {
+  if (list.kind == EngineListKind::failed)
+    return act(
+        StartTimer{std::max<Duration>(kFollowLeast, s.engine_list_request_deadline / kFollowParts), 1});
+  if (list.kind != EngineListKind::delta) {
     std::set<std::string> named;
     for (const auto& entry : list.entries) named.insert(entry.engine.name);
     for (auto& [name, e] : engines) {
@@ -52,7 +53,7 @@
   const bool is_new = it == engines.end();
   if (is_new) it = engines.emplace(entry.engine.name, Engine(classes.size())).first;
   Engine& e = it->second;
-  const bool restarted = !is_new && entry.started && entry.started != e.entry.started;
+  const bool restarted = !is_new && entry.start_time && entry.start_time != e.entry.start_time;
   e.entry = entry;
   if (is_new) {
     e.full_backoff = kFullLeast;
@@ -62,20 +63,20 @@
     if (kind < kinds.size()) {
       e.cores = s.kinds[kind].cores;
       e.memory = s.kinds[kind].memory_mb;
-      e.weights = kinds[kind];
+      e.interference = kinds[kind];
     }
     e.part = share;
     e.bound = std::max(1.0, e.cores * share);
     if (const auto known = handed.extract(entry.engine.name)) know(e, known.mapped());
   }
-  if (entry.started && (is_new || restarted)) {
-    if (!e.cold_since || *entry.started > *e.cold_since) {
-      e.cold_since = *entry.started;
+  if (entry.start_time && (is_new || restarted)) {
+    if (!e.cold_since || *entry.start_time > *e.cold_since) {
+      e.cold_since = *entry.start_time;
       e.cold_turn = now;
-      e.cold_wait = s.fronts > 1 ? draw() : 0;
+      e.cold_wait = s.manager_count > 1 ? draw() : 0;
     }
   }
-  if (restarted) e.shunned = false, e.failing = 0, e.backoff = kBackoffLeast, e.heard = now;
+  if (restarted) e.ejected = false, e.failure_ratio = 0, e.backoff = kBackoffLeast, e.heard = now;
 }
 
-}  // namespace lynxstand
+}  // namespace yokestream::policy
--- a/src/policy/estimate.cpp
+++ b/src/policy/estimate.cpp
@@ -1,7 +1,7 @@
 // What a query takes at each engine, and what other fronts run there.
 #include "impl.h"
 
-namespace lynxstand {
+namespace yokestream::policy {
 namespace {
 
 constexpr double kTellWork = 0.0065;  // mean works for each receiver that a message is worth
@@ -18,17 +18,17 @@
 }
 
 double AdmissionController::Impl::estimate(const Query& q, const Engine& e) const {
-  const std::size_t i = pos(q.told.cls);
-  const double mix = interference(e.weights, i, e.n) + e.weights[i][i];  // the newcomer counted in
+  const std::size_t i = pos(q.told.query_class);
+  const double mix = interference(e.interference, i, e.n) + e.interference[i][i];  // the newcomer counted in
   return unloaded(q) * (classes[i].bias + mix) / e.warm + behind_loads(q, e);
 }
 
 // Danger: a load holds its tables, and whatever waits for them stands still until it ends, however idle the
 // engine. The mix of classes can't tell; the rest of the longest such load is added to the estimate.
 double AdmissionController::Impl::behind_loads(const Query& q, const Engine& e) const {
-  if (!cls(q).waits_for_loads && !cls(q).loads_tables) return 0;
+  if (!cls(q).waits_for_table_group && !cls(q).locks_table_group) return 0;
   double rest = 0;
-  const auto [from, to] = e.loads.equal_range(short_tables(q.told.tables));
+  const auto [from, to] = e.loads.equal_range(short_tables(q.told.table_group));
   for (auto it = from; it != to; ++it)
     rest = std::max(rest, std::max(kLoadRest, seconds(it->second.second - now)));
   return rest;
@@ -39,15 +39,17 @@
 // bytes, 7 for a load) and at its end (4, with the engine's report). A lost message costs a wrong guess.
 void AdmissionController::Impl::tell(const Query& q, Attempt& a, const Engine& e, double rest) {
   const bool begins = rest > 0;
-  if (begins) a.told = s.may_message && s.fronts > 1 && !probes && q.work >= told_from() * mean_work;
+  if (begins) a.told = s.may_message && s.manager_count > 1 && !probes && q.work >= told_from() * mean_work_s;
   if (!a.told) return;
   const std::uint16_t where = short_hash(e.entry.engine.name);
-  const bool load = cls(q).loads_tables;
-  if (begins) return act(TellPeers{told_begin(where, pos(q.told.cls), a.memory, rest, q.told.tables, load)});
-  act(TellPeers{told_end(where, e.others_at == now ? std::min(254.0, e.reported) : 255)});
+  const bool load = cls(q).locks_table_group;
+  if (begins)
+    return act(BroadcastToPeers{
+        told_begin(where, pos(q.told.query_class), a.memory, rest, q.told.table_group, load)});
+  act(BroadcastToPeers{told_end(where, e.others_at == now ? std::min(254.0, e.reported) : 255)});
 }
 
-double AdmissionController::Impl::told_from() const { return kTellLeast + kTellWork * (s.fronts - 1); }
+double AdmissionController::Impl::told_from() const { return kTellLeast + kTellWork * (s.manager_count - 1); }
 
 // What other fronts run and nobody told of: by the last report, and as it ages by the pool's mean.
 double AdmissionController::Impl::untold(const Engine& e) const {
@@ -57,7 +59,8 @@
 double AdmissionController::Impl::other_threads(const Engine& e) const { return e.told_threads + untold(e); }
 
 double AdmissionController::Impl::other_memory(const Engine& e) const {
-  if (pool_memory < 0) return e.told_memory + untold(e) / mean_threads * mean_memory;
+  if (pool_memory < 0)
+    return e.told_memory + untold(e) / mean_unannounced_threads * mean_unannounced_memory_mb;
   return e.told_memory + e.fresh * e.others_memory +
          (is_cold(e) ? 0 : (1 - e.fresh) * pool_memory * e.memory);
 }
@@ -82,34 +85,35 @@
 }
 
 bool AdmissionController::Impl::is_cold(const Engine& e) const {
-  return e.cold_since && now - *e.cold_since < s.cold;
+  return e.cold_since && now - *e.cold_since < s.slow_start_window;
 }
 
 // Danger: a cold engine does a part of its work, and its kind's weights don't know. Its time is stretched
 // by the part that it is told to have, growing evenly until it is warm.
 double AdmissionController::Impl::warmth(const Engine& e) const {
-  if (!e.cold_since || s.cold <= Duration{}) return 1;
-  const double age = seconds(now - *e.cold_since) / seconds(s.cold);
-  return age >= 1 ? 1 : s.start_capacity + (1 - s.start_capacity) * std::max(0.0, age);
+  if (!e.cold_since || s.slow_start_window <= Duration{}) return 1;
+  const double age = seconds(now - *e.cold_since) / seconds(s.slow_start_window);
+  return age >= 1 ? 1 : s.slow_start_initial_ratio + (1 - s.slow_start_initial_ratio) * std::max(0.0, age);
 }
 
 double AdmissionController::Impl::usual_work(std::size_t i) const {
-  const double mean = classes[i].mean_told * classes[i].work_factor;
-  if (mean == 0) return seconds(s.classes[i].aim) * s.classes[i].threads / 2;
+  const double mean = classes[i].mean_estimated_work_s * classes[i].work_factor;
+  if (mean == 0) return seconds(s.classes[i].latency_objective) * s.classes[i].threads / 2;
   // where answers tell the work, the told estimate is put right by it; the bias is time, not work
-  return s.tells_cost ? mean : mean * std::max(1.0, classes[i].bias);
+  return s.reports_cost ? mean : mean * std::max(1.0, classes[i].bias);
 }
 
 double AdmissionController::Impl::density(const Query& q) const {
-  return cls(q).worth / std::max(1e-3, q.work);
+  return cls(q).priority_weight / std::max(1e-3, q.work);
 }
 
 double AdmissionController::Impl::usual_time(const Query& q, const Attempt& a) const {
-  return std::max(a.estimate, a.unloaded * std::exp(classes[pos(q.told.cls)].best + std::max(0.0, strain)));
+  return std::max(a.estimate, a.unloaded * std::exp(classes[pos(q.told.query_class)].best_log_slowdown +
+                                                    std::max(0.0, strain)));
 }
 
 double AdmissionController::Impl::dearness(const Query& q) const {
-  return -std::log(density(q) * (q.over_share ? std::max(0.01, s.over_share_worth) : 1));
+  return -std::log(density(q) * (q.over_share ? std::max(0.01, s.over_quota_weight_ratio) : 1));
 }
 
-}  // namespace lynxstand
+}  // namespace yokestream::policy
--- a/src/policy/handover.cpp
+++ b/src/policy/handover.cpp
@@ -1,7 +1,7 @@
 // What was learnt, as a value that another process takes over; and fronts that come and go meanwhile.
 #include "impl.h"
 
-namespace lynxstand {
+namespace yokestream::policy {
 namespace {
 
 constexpr Duration kStillBad = std::chrono::seconds(6);  // older news of a failing engine says nothing
@@ -9,33 +9,33 @@
 
 }  // namespace
 
-Learnt AdmissionController::learnt() const { return impl_->value(); }
+LearnedState AdmissionController::learned_state() const { return impl_->value(); }
 
-bool AdmissionController::take_over(const Learnt& learnt, Duration age) {
+bool AdmissionController::restore(const LearnedState& learnt, Duration age) {
   Impl& own = *impl_;
   if (own.started || !fits(learnt, own.s)) return false;
-  static_cast<LearntPool&>(own) = learnt.pool;
+  static_cast<LearnedPool&>(own) = learnt.pool;
   for (std::size_t i = 0; i < own.classes.size(); ++i)
-    static_cast<LearntClass&>(own.classes[i]) = learnt.classes[i];
+    static_cast<LearnedClass&>(own.classes[i]) = learnt.classes[i];
   own.kinds = learnt.kinds;
-  own.share = std::clamp(own.own_seen / own.all_seen, 1.0 / own.fronts, 1.0);
+  own.share = std::clamp(own.observed_own_queries / own.observed_all_queries, 1.0 / own.fronts, 1.0);
   own.handed_at = own.now - age;
   for (const auto& e : learnt.engines) own.handed.emplace(e.id.name, e);
   return true;
 }
 
 // Danger: an earlier run of an engine taught of a warm one, or a failing one. A new one begins as its kind.
-void AdmissionController::Impl::know(Engine& e, const Learnt::Engine& known) {
-  const auto &was = known.started, &is = e.entry.started;
+void AdmissionController::Impl::know(Engine& e, const LearnedState::Engine& known) {
+  const auto &was = known.start_time, &is = e.entry.start_time;
   if (is && (!was || std::chrono::abs(*is - *was) > kSameStart)) return;
-  static_cast<LearntEngine&>(e) = known.learnt;
+  static_cast<LearnedEngine&>(e) = known.learned;
   e.slow_at = e.shunned_since = handed_at;
   e.trial_at = now + kBackoffLeast;
-  if (now - handed_at > kStillBad) e.shunned = false, e.failing = 0;
+  if (now - handed_at > kStillBad) e.ejected = false, e.failure_ratio = 0;
 }
 
 // Danger: with twice the fronts at work each has half of the room, at once and not as reports teach it.
-void AdmissionController::count_fronts(double now_there) {
+void AdmissionController::set_manager_count(double now_there) {
   Impl& own = *impl_;
   const double by = own.fronts / now_there;
   own.fronts = now_there;
@@ -47,4 +47,4 @@
   }
 }
 
-}  // namespace lynxstand
+}  // namespace yokestream::policy
--- a/src/policy/impl.h
+++ b/src/policy/impl.h
@@ -3,7 +3,7 @@
 
 #include "state.h"
 
-namespace lynxstand {
+namespace yokestream::policy {
 
 using std::chrono::milliseconds;
 
@@ -27,7 +27,7 @@
     1;  // threads a core, and share of memory: the pool's mean before any report,
 inline constexpr double kPriorMemory = 0.3;
 
-struct AdmissionController::Impl : LearntPool {
+struct AdmissionController::Impl : LearnedPool {
   Impl(const Settings& settings, std::uint64_t seed, Time at);
 
   const Settings s;
@@ -37,7 +37,7 @@
   bool started = false;
   Time last_event{}, resumed = Time::min();
   std::vector<ClassState> classes;
-  std::vector<Weights> kinds;
+  std::vector<InterferenceWeights> kinds;
   std::map<std::string, Engine> engines;
   std::map<QueryId, Query> queries;
   std::set<std::pair<Time, QueryId>> held;  // earliest deadline first
@@ -46,8 +46,9 @@
   std::vector<std::pair<double, Time>> buckets;  // a tenant: queries left, and when it was filled
   double fronts;                                 // this one's least part of the load is one over these
   double share;                                  // this front's part of the load on the engines
-  std::map<std::string, Learnt::Engine> handed;  // by another process, of engines not named by the list yet
-  Time handed_at{};                              // when it was learnt
+  std::map<std::string, LearnedState::Engine>
+      handed;        // by another process, of engines not named by the list yet
+  Time handed_at{};  // when it was learnt
   std::map<std::uint16_t, Engine*> by_hash;
   bool probes = false;  // engines are probed for what other fronts run
   int probes_out = 0;
@@ -69,7 +70,7 @@
     out->push_back(std::move(action));
   }
 
-  const ClassSettings& cls(const Query& q) const { return s.classes[pos(q.told.cls)]; }
+  const ClassSettings& cls(const Query& q) const { return s.classes[pos(q.told.query_class)]; }
 
   // estimate.cpp
   double unloaded(const Query& q) const;
@@ -142,8 +143,8 @@
 
   // outcomes.cpp
   void on(const AttemptEnded& end);
-  void on(const AttemptNote& note);
-  void on(const AnswerStarted& start);
+  void on(const AttemptProgress& note);
+  void on(const ResponseStarted& start);
   void on(const ProbeEnded& probe);
 
   // engines.cpp
@@ -151,31 +152,31 @@
   void refresh_views();
   void note_entry(const EngineEntry& entry);
 
-  Learnt value() const {
-    Learnt all{*this, {classes.begin(), classes.end()}, kinds, {}};
+  LearnedState value() const {
+    LearnedState all{*this, {classes.begin(), classes.end()}, kinds, {}};
     for (const auto& [name, e] : engines)
-      if (e.entry.state != EngineState::gone) all.engines.push_back({e.entry.engine, e.entry.started, e});
+      if (e.entry.state != EngineState::gone) all.engines.push_back({e.entry.engine, e.entry.start_time, e});
     return all;
   }
 
   // handover.cpp
-  void know(Engine& e, const Learnt::Engine& known);
+  void know(Engine& e, const LearnedState::Engine& known);
 
   // policy.cpp
   void on(const QueryArrived& told);
-  void on(const ClientLeft& left);
+  void on(const ClientDisconnected& left);
   void on(const PeerMessage& message);
-  void on(const Woken& woken);
-  void on(const EligibleNow& told) {
+  void on(const TimerFired& woken);
+  void on(const EligibilityChanged& told) {
     const auto it = queries.find(told.query);
     if (it == queries.end()) return;
     Query& q = it->second;
-    q.told.eligible = told.eligible;
-    if (q.finished || q.out > 0 || !told.eligible || told.eligible->any()) return;
+    q.told.eligible_engines = told.eligible_engines;
+    if (q.finished || q.out > 0 || !told.eligible_engines || told.eligible_engines->any()) return;
     give_up(q, 1);  // nothing that is eligible: at once, never held
     forget(told.query);
   }
   void handle(Time at, const Event& event, std::vector<Action>& actions);
 };
 
-}  // namespace lynxstand
+}  // namespace yokestream::policy
--- a/src/policy/outcomes.cpp
+++ b/src/policy/outcomes.cpp
@@ -1,7 +1,7 @@
 // How attempts end, and what is heard of them meanwhile.
 #include "impl.h"
 
-namespace lynxstand {
+namespace yokestream::policy {
 namespace {
 
 constexpr double kBillsPresumed = 3;  // answers for which the told work is taken to be right, at first
@@ -21,24 +21,24 @@
   const Outcome o = end.outcome;
   a.out = false;
   --q.out;
-  read_report(e, end.report);
-  e.n[pos(q.told.cls)] -= 1;
+  read_report(e, end.load_report);
+  e.n[pos(q.told.query_class)] -= 1;
   e.threads -= cls(q).threads;
   threads -= cls(q).threads;
   e.granted -= a.memory;
   e.running.erase(end.query);
   if (o != Outcome::timed_out || s.may_cancel) {  // else it runs on
-    if (cls(q).loads_tables) e.load_ends(pos(end.query));
+    if (cls(q).locks_table_group) e.load_ends(pos(end.query));
     tell(q, a, e, 0);
   }
   if (o == Outcome::served) {
     good_sign(e, true, a.sent);
-    if (!q.streaming && !a.behind_load && now >= resumed + kTick) learn(q, a, e, seconds(end.took));
-    auto& c = classes[pos(q.told.cls)];
+    if (!q.streaming && !a.behind_load && now >= resumed + kTick) learn(q, a, e, seconds(end.elapsed));
+    auto& c = classes[pos(q.told.query_class)];
     // means of logarithms: bad plans take many times the told work, and told work scatters
     if (end.work && *end.work > Duration{} && q.told.work)
       c.work_factor *= std::pow(seconds(*end.work) / (seconds(*q.told.work) * c.work_factor),
-                                std::max(kBiasStep, 1 / (++c.billed + kBillsPresumed)));
+                                std::max(kBiasStep, 1 / (++c.cost_reports + kBillsPresumed)));
     if (!a.spilled) c.memory_factor = std::max(1.0, c.memory_factor * 0.998);
   } else if (o == Outcome::shed) {
     strain += kStrainStep * (kStrainMost - strain);
@@ -56,12 +56,12 @@
   if (may_run) {
     q.may_have_run = true;
     if (!q.may_run_since) q.may_run_since = a.sent, q.ran_on = a.engine;
-    if (cls(q).in_order && q.told.order_key && o != Outcome::served && o != Outcome::error) {
+    if (cls(q).ordered && q.told.order_key && o != Outcome::served && o != Outcome::error) {
       auto& key = keys.at(*q.told.order_key);
       key.pause_until = std::max(key.pause_until, now + s.order_pause);
     }
   }
-  if (end.finished) q.finished = true, unhold(q);
+  if (end.query_finished) q.finished = true, unhold(q);
   if (!q.finished && q.out == 0) {
     if (q.streaming || hopeless(q) || now + kTick >= q.deadline)
       give_up(q, 0);
@@ -71,7 +71,7 @@
   forget(end.query);
 }
 
-void AdmissionController::Impl::on(const AttemptNote& note) {
+void AdmissionController::Impl::on(const AttemptProgress& note) {
   const auto it = queries.find(note.query);
   const auto where = engines.find(note.engine.name);
   if (it == queries.end() || where == engines.end() || pos(note.attempt) >= it->second.attempts.size())
@@ -81,19 +81,19 @@
   good_sign(where->second, false, a.sent);
   a.heard = now;
   if (!a.out || q.finished) return;
-  if (note.note == Note::spills && q.told.memory_mb > 0 && !a.spilled) {
+  if (note.kind == ProgressKind::spilling && q.told.memory_mb > 0 && !a.spilled) {
     a.spilled = true;
-    auto& c = classes[pos(q.told.cls)];
+    auto& c = classes[pos(q.told.query_class)];
     if (a.memory > 0) c.memory_factor = std::min(4.0, c.memory_factor * 1.02);
   }
-  if (note.note == Note::waits_for_load && !a.behind_load) {  // a load that nobody told of
+  if (note.kind == ProgressKind::waiting_for_table_group && !a.behind_load) {  // a load that nobody told of
     a.behind_load = true;
-    where->second.load_begins(q.told.tables, kUnknownLoad, now + kUnknownRest);
+    where->second.load_begins(q.told.table_group, kUnknownLoad, now + kUnknownRest);
   }
-  if (note.note == Note::progress && note.value > 0) judge_progress(q, a, note.value);
+  if (note.kind == ProgressKind::progress && note.value > 0) judge_progress(q, a, note.value);
 }
 
-void AdmissionController::Impl::on(const AnswerStarted& start) {
+void AdmissionController::Impl::on(const ResponseStarted& start) {
   if (const auto it = queries.find(start.query); it != queries.end()) it->second.streaming = true;
   if (const auto e = engines.find(start.engine.name); e != engines.end()) good_sign(e->second, false, now);
 }
@@ -103,8 +103,8 @@
   probes_out = std::max(0, probes_out - 1);
   if (it == engines.end()) return;
   if (probe.outcome != Outcome::served) return bad_sign(it->second, kRefusedStep);
-  good_sign(it->second, it->second.shunned, now);
-  read_report(it->second, probe.report);
+  good_sign(it->second, it->second.ejected, now);
+  read_report(it->second, probe.load_report);
 }
 
-}  // namespace lynxstand
+}  // namespace yokestream::policy
--- a/src/policy/placing.cpp
+++ b/src/policy/placing.cpp
@@ -1,7 +1,7 @@
 // Sends, refuses or holds; what is held leaves earliest deadline first; the price of what is refused.
 #include "impl.h"
 
-namespace lynxstand {
+namespace yokestream::policy {
 namespace {
 
 constexpr double kStrainAim = 0.3;     // strain (log of slowdown over best) that the price steers to
@@ -45,7 +45,7 @@
   Attempt a;
   a.engine = e.entry.engine.name;
   a.sent = now;
-  e.n[pos(q.told.cls)] += 1;
+  e.n[pos(q.told.query_class)] += 1;
   e.threads += cls(q).threads;
   threads += cls(q).threads;
   e.running.insert(q.told.query);
@@ -54,14 +54,15 @@
   a.estimate = est;
   a.memory = grant(q, e);
   e.granted += a.memory;
-  if (s.grants || s.priorities)
-    act(SetTerms{q.told.query, s.grants ? a.memory : 0, s.priorities ? priority(q) : 1});
+  if (s.memory_grants || s.query_priorities)
+    act(SetExecutionTerms{q.told.query, s.memory_grants ? a.memory : 0,
+                          s.query_priorities ? priority(q) : 1});
   if (!q.attempts.empty()) extras.push_back(now);
   e.cold_turn = now;
   e.cold_wait = 1;
-  if (e.shunned) e.trial_at = now + e.backoff;
+  if (e.ejected) e.trial_at = now + e.backoff;
   a.behind_load = behind_loads(q, e) > 0;
-  if (cls(q).loads_tables) e.load_begins(q.told.tables, pos(q.told.query), now + from_seconds(est));
+  if (cls(q).locks_table_group) e.load_begins(q.told.table_group, pos(q.told.query), now + from_seconds(est));
   tell(q, a, e, std::max(1e-3, est));
   q.attempts.push_back(std::move(a));
   ++q.out;
@@ -69,8 +70,8 @@
 }
 
 std::uint32_t AdmissionController::Impl::priority(const Query& q) const {
-  const double d = density(q) / std::max(1e-9, mean_density);
-  return cls(q).loads_tables || d >= 1 ? 3 : d >= 0.1 ? 2 : 1;
+  const double d = density(q) / std::max(1e-9, mean_value_per_work_second);
+  return cls(q).locks_table_group || d >= 1 ? 3 : d >= 0.1 ? 2 : 1;
 }
 
 void AdmissionController::Impl::hold(Query& q) {
@@ -88,8 +89,8 @@
   unhold(q);
   q.finished = true;
   if (may_refuse(q)) {
-    act(Refuse{q.told.query, s.may_advise_wait
-                                 ? std::min(s.most_wait_advice, from_seconds(std::max(0.05, over)))
+    act(Reject{q.told.query, s.may_send_retry_after
+                                 ? std::min(s.max_retry_after, from_seconds(std::max(0.05, over)))
                                  : Duration{}});
   } else {
     act(Fail{q.told.query});
@@ -114,7 +115,7 @@
   const auto it = queries.find(id);
   if (it == queries.end() || !it->second.finished || it->second.out > 0) return;
   const Query& q = it->second;
-  if (cls(q).in_order && q.told.order_key) {
+  if (cls(q).ordered && q.told.order_key) {
     auto& line = keys.at(*q.told.order_key).line;
     line.erase(std::find(line.begin(), line.end(), id));
   }
@@ -137,4 +138,4 @@
   price = std::clamp(price - kPriceRate * over * told, dearest - kPriceLeast, dearest);
 }
 
-}  // namespace lynxstand
+}  // namespace yokestream::policy
--- a/src/policy/state.h
+++ b/src/policy/state.h
@@ -10,18 +10,19 @@
 #include <string>
 #include <vector>
 
-#include "lynxstand/admission.h"
+#include "yokestream/policy/admission_controller.h"
 
-namespace lynxstand {
+namespace yokestream::policy {
 
 void check(const Settings& settings);  // throws std::invalid_argument naming the field that makes no sense
-bool fits(const Learnt& learnt, const Settings& settings);  // sizes as the settings', numbers that are some
+bool fits(const LearnedState& learnt,
+          const Settings& settings);  // sizes as the settings', numbers that are some
 
-inline Weights zero_weights(std::size_t classes) {
-  return Weights(classes, std::vector<double>(classes, 0.0));
+inline InterferenceWeights zero_weights(std::size_t classes) {
+  return InterferenceWeights(classes, std::vector<double>(classes, 0.0));
 }
 // In units of the newcomer's own unloaded time: Est = C x (bias_i + sum c(i,j) n(j)).
-inline double interference(const Weights& c, std::size_t i, const std::vector<double>& n) {
+inline double interference(const InterferenceWeights& c, std::size_t i, const std::vector<double>& n) {
   double sum = 0;
   for (std::size_t j = 0; j < n.size(); ++j) sum += c[i][j] * n[j];
   return sum;
@@ -32,13 +33,13 @@
   return sum;
 }
 // One step of normalised LMS, weights kept non-negative; `error` times the step.
-inline void learn_weights(Weights& c, std::size_t i, const std::vector<double>& n, double error) {
+inline void learn_weights(InterferenceWeights& c, std::size_t i, const std::vector<double>& n, double error) {
   const double all = norm(n);
   for (std::size_t j = 0; j < n.size(); ++j) c[i][j] = std::max(0.0, c[i][j] + error * n[j] / all);
 }
 inline bool tells_what_runs(const Settings& s) {
-  return std::any_of(s.report_fields.begin(), s.report_fields.end(), [](ReportField f) {
-    return f == ReportField::inflight || f == ReportField::cpu || f == ReportField::disks;
+  return std::any_of(s.load_report_fields.begin(), s.load_report_fields.end(), [](LoadReportField f) {
+    return f == LoadReportField::inflight || f == LoadReportField::cpu || f == LoadReportField::disks;
   });
 }
 // Rule: the zones and kinds that a class is bound to, if any, and the engines that the query is.
@@ -46,8 +47,8 @@
   const auto among = [](const auto& list, auto x) {
     return list.empty() || std::find(list.begin(), list.end(), x) != list.end();
   };
-  const bool eligible = !q.eligible || (e.slot < kMostSlots && (*q.eligible)[e.slot]);
-  return eligible && among(c.only_zones, e.zone) && among(c.only_kinds, e.kind);
+  const bool eligible = !q.eligible_engines || (e.slot < kMaxEngineSlots && (*q.eligible_engines)[e.slot]);
+  return eligible && among(c.allowed_zones, e.zone) && among(c.allowed_kinds, e.kind);
 }
 inline TableGroupId short_tables(TableGroupId t) {
   return TableGroupId{static_cast<std::uint64_t>(t) & 0xffff};
@@ -69,7 +70,7 @@
   return static_cast<std::size_t>(id);
 }
 
-struct ClassState : LearntClass {
+struct ClassState : LearnedClass {
   Duration usual_left{};  // time left that most have on arrival, by majority vote
   int usual_votes = 0;
 };
@@ -138,9 +139,9 @@
   return payload;
 }
 
-struct Engine : LearntEngine {
+struct Engine : LearnedEngine {
   explicit Engine(std::size_t classes)
-      : LearntEngine{zero_weights(classes), std::vector<double>(classes, 1.0)}, n(classes, 0.0) {}
+      : LearnedEngine{zero_weights(classes), std::vector<double>(classes, 1.0)}, n(classes, 0.0) {}
   EngineEntry entry;
   double cores = 1, memory = 0;
   std::vector<double> n;  // own running queries per class
@@ -199,4 +200,4 @@
   Time pause_until = Time::min();
 };
 
-}  // namespace lynxstand
+}  // namespace yokestream::policy
