--- a/src/protocol/resp.cpp
+++ b/src/protocol/resp.cpp
@@ -46,25 +46,26 @@
   }
 }
 
-AnswerWord word_of(string_view text) {
-  constexpr std::array<std::pair<string_view, AnswerWord>, 7> words{{{"served", AnswerWord::served},
-                                                                     {"overload", AnswerWord::overload},
-                                                                     {"crashed", AnswerWord::crashed},
-                                                                     {"nobody", AnswerWord::nobody},
-                                                                     {"update", AnswerWord::update},
-                                                                     {"rows", AnswerWord::rows},
-                                                                     {"green", AnswerWord::green}}};
+ResponseType word_of(string_view text) {
+  constexpr std::array<std::pair<string_view, ResponseType>, 7> words{
+      {{"served", ResponseType::result},
+       {"overload", ResponseType::overloaded},
+       {"crashed", ResponseType::failed},
+       {"nobody", ResponseType::unknown_query},
+       {"update", ResponseType::progress},
+       {"rows", ResponseType::page},
+       {"green", ResponseType::pong}}};
   for (const auto& [word, meaning] : words) {
     if (word == text) return meaning;
   }
   throw ProtocolError("an answer with an unknown word");
 }
 
-Remark remark_of(string_view text) {
-  if (text == "progress") return Remark::progress;
-  if (text == "spill_mb") return Remark::spill_mb;
-  if (text == "blocked") return Remark::blocked;
-  return Remark::none;
+ProgressType remark_of(string_view text) {
+  if (text == "progress") return ProgressType::progress;
+  if (text == "spill_mb") return ProgressType::spilling;
+  if (text == "blocked") return ProgressType::blocked;
+  return ProgressType::none;
 }
 
 // Guards what is learned from answers: a figure that no engine can mean is as good as none.
@@ -83,10 +84,11 @@
 
 }  // namespace
 
-string encode_request(const EngineRequest& request, lynxstand::Time now) {
+string encode_request(const EngineRequest& request, policy::Time now) {
   const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(request.deadline - now).count();
-  string fields = "profile=" + request.profile + ",max=" + std::to_string(std::max<std::int64_t>(1, left));
-  if (request.band != 1) fields += ",band=" + std::to_string(request.band);
+  string fields =
+      "profile=" + request.query_class + ",max=" + std::to_string(std::max<std::int64_t>(1, left));
+  if (request.priority != 1) fields += ",band=" + std::to_string(request.priority);
   return array_of({"REQ", request.id, fields, request.statement});
 }
 string encode_stop(string_view id) { return array_of({"STOP", id}); }
@@ -143,37 +145,37 @@
   return true;
 }
 
-EngineAnswer RespReader::decode() {
+EngineResponse RespReader::decode() {
   const auto part = [&](std::size_t i) {
     return i < parts_.size() ? string_view(buffer_).substr(parts_[i].first, parts_[i].second) : string_view();
   };
-  EngineAnswer answer;
+  EngineResponse answer;
   answer.id = part(0);
-  answer.word = word_of(part(1));
+  answer.type = word_of(part(1));
   answer.body = part(3);
   each_pair(part(2), ',', '=', [&](string_view name, string_view value) {
-    if (name == "total") answer.pages = required(name, parse<std::uint32_t>(value));
-    if (name == "index") answer.page = required(name, parse<std::uint32_t>(value));
-    if (name == "remark") answer.remark = remark_of(value);
-    if (name == "datum") answer.datum = required(name, parse_real(value));
-    if (name == "elapsed") answer.elapsed_ms = plausible(required(name, parse_real(value)), kMostElapsedMs);
+    if (name == "total") answer.page_count = required(name, parse<std::uint32_t>(value));
+    if (name == "index") answer.page_index = required(name, parse<std::uint32_t>(value));
+    if (name == "remark") answer.progress = remark_of(value);
+    if (name == "datum") answer.progress_value = required(name, parse_real(value));
+    if (name == "elapsed") answer.work_ms = plausible(required(name, parse_real(value)), kMostElapsedMs);
     if (name == "rss")
-      answer.rss_mb = plausible(required(name, parse_real(value)), kMostMemoryMb).value_or(0);
+      answer.memory_mb = plausible(required(name, parse_real(value)), kMostMemoryMb).value_or(0);
     if (name != "report") return;
-    answer.report.assign(report_fields_.size(), -1.0);
+    answer.load_report.assign(report_fields_.size(), -1.0);
     each_pair(value, ';', ':', [&](string_view field, string_view figure) {
       for (std::size_t i = 0; i < report_fields_.size(); ++i) {
         if (report_fields_[i] == field)
-          answer.report[i] = plausible(required(field, parse_real(figure)), kMostReported).value_or(-1);
+          answer.load_report[i] = plausible(required(field, parse_real(figure)), kMostReported).value_or(-1);
       }
     });
   });
   return answer;
 }
 
-std::optional<EngineAnswer> RespReader::next() {
+std::optional<EngineResponse> RespReader::next() {
   if (!scan()) return std::nullopt;
-  EngineAnswer answer = decode();
+  EngineResponse answer = decode();
   buffer_.erase(0, at_);
   at_ = 0;
   missing_.reset();
--- a/src/protocol/resp.h
+++ b/src/protocol/resp.h
@@ -7,13 +7,13 @@
 #include <string_view>
 #include <vector>
 
-#include "messages/engine.h"
+#include "protocol/engine_messages.h"
 #include "protocol/error.h"
 
 namespace yokestream::protocol {
 
 // `now` turns the deadline that travels with the request into the time that is left.
-std::string encode_request(const EngineRequest& request, lynxstand::Time now);
+std::string encode_request(const EngineRequest& request, policy::Time now);
 std::string encode_stop(std::string_view id);
 std::string encode_hello(std::string_view tag);
 std::string encode_nice(std::string_view id, std::uint32_t band);
@@ -33,13 +33,13 @@
       : RespReader(std::move(report_fields), Bounds{}) {}
 
   void feed(std::string_view bytes) { buffer_.append(bytes); }
-  std::optional<EngineAnswer> next();                     // throws ProtocolError
+  std::optional<EngineResponse> next();                   // throws ProtocolError
   std::size_t pending() const { return buffer_.size(); }  // bytes of an answer that is not whole yet
 
  private:
   bool scan();
   std::optional<std::uint64_t> number(char mark);
-  EngineAnswer decode();
+  EngineResponse decode();
 
   std::vector<std::string> report_fields_;
   Bounds bounds_;
--- a/src/queues/settings.h
+++ b/src/queues/settings.h
@@ -6,13 +6,13 @@
 #include <string>
 #include <vector>
 
-#include "lynxstand/admission.h"
+#include "yokestream/policy/admission_controller.h"
 
 namespace yokestream::queues {
 
-using lynxstand::Duration;
-using lynxstand::QueryId;
-using lynxstand::Time;
+using policy::Duration;
+using policy::QueryId;
+using policy::Time;
 
 constexpr std::size_t kLevels = 4;  // of service: 0 what can wait, 1 usual, 2 prompt, 3 urgent
 constexpr std::size_t kNone = ~std::size_t{0};
--- a/src/routes/routes.cpp
+++ b/src/routing/routes.cpp
@@ -1,10 +1,10 @@
-#include "routes/routes.h"
+#include "routing/routes.h"
 
 #include <xxhash.h>
 
 #include <algorithm>
 
-namespace yokestream::routes {
+namespace yokestream::routing {
 namespace {
 
 template <class T>
@@ -39,23 +39,23 @@
   Engine& engine = it->second;
   if (is_new) {
     engine.slot = 0;
-    while (engine.slot < lynxstand::kMostSlots && taken_[engine.slot]) ++engine.slot;
-    if (engine.slot < lynxstand::kMostSlots) taken_.set(engine.slot);
+    while (engine.slot < policy::kMaxEngineSlots && taken_[engine.slot]) ++engine.slot;
+    if (engine.slot < policy::kMaxEngineSlots) taken_.set(engine.slot);
   }
   // what is gone may be told of by its uid alone; it stays where it was
-  if (is_new || member.state != lynxstand::EngineState::gone) engine.member = member;
+  if (is_new || member.state != policy::EngineState::gone) engine.member = member;
   place(engine);
   return engine.slot;
 }
 
 void Routes::place(const Engine& engine) {
-  if (engine.slot >= lynxstand::kMostSlots) return;
+  if (engine.slot >= policy::kMaxEngineSlots) return;
   for (std::size_t i = 0; i < sets_.size(); ++i) sets_[i].set(engine.slot, origins_[i].takes(engine.member));
 }
 
 std::uint32_t Routes::slot(const std::string& uid) const {
   const auto it = engines_.find(uid);
-  return it == engines_.end() ? lynxstand::kMostSlots : it->second.slot;
+  return it == engines_.end() ? policy::kMaxEngineSlots : it->second.slot;
 }
 
 void Routes::keep(const std::function<bool(const std::string&)>& known) {
@@ -67,7 +67,7 @@
 }
 
 void Routes::vacate(const Engine& engine) {
-  if (engine.slot >= lynxstand::kMostSlots) return;
+  if (engine.slot >= policy::kMaxEngineSlots) return;
   taken_.reset(engine.slot);
   for (auto& set : sets_) set.reset(engine.slot);
 }
@@ -94,4 +94,4 @@
   return route;
 }
 
-}  // namespace yokestream::routes
+}  // namespace yokestream::routing
--- a/src/routes/routes.h
+++ b/src/routing/routes.h
@@ -18,13 +18,13 @@
 #include <vector>
 
 #include "config/members.h"
-#include "lynxstand/admission.h"
+#include "yokestream/policy/admission_controller.h"
 
-namespace yokestream::routes {
+namespace yokestream::routing {
 
-using lynxstand::EngineSet;
-using lynxstand::TableGroupId;
-using lynxstand::Time;
+using policy::EngineSet;
+using policy::TableGroupId;
+using policy::Time;
 
 // A named pool of engines: those that match each list that is not empty.
 struct Origin {
@@ -94,4 +94,4 @@
   Time until_ = Time::min();
 };
 
-}  // namespace yokestream::routes
+}  // namespace yokestream::routing
--- a/src/routes/tally.h
+++ b/src/routing/tally.h
@@ -9,9 +9,9 @@
 #include <map>
 #include <utility>
 
-#include "lynxstand/admission.h"
+#include "yokestream/policy/admission_controller.h"
 
-namespace yokestream::routes {
+namespace yokestream::routing {
 
 struct Tally {
   std::int64_t all = 0, served = 0;
@@ -19,6 +19,6 @@
   bool operator==(const Tally&) const = default;
 };
 // By area; the side left behind, then the new one.
-using Tallies = std::map<lynxstand::TableGroupId, std::pair<Tally, Tally>>;
+using Tallies = std::map<policy::TableGroupId, std::pair<Tally, Tally>>;
 
-}  // namespace yokestream::routes
+}  // namespace yokestream::routing
--- a/src/adapter/host.cpp
+++ b/src/simulator_adapter/host.cpp
@@ -7,7 +7,7 @@
 
 #include "wire.h"
 
-namespace lynxstand::wire {
+namespace yokestream::simulator_adapter {
 namespace {
 
 class Host {
@@ -38,7 +38,7 @@
     const std::string head = text_;
     const Line clock(number_, head);
     if (clock.word() != "clock") clock.fail("clock", "expected, found '" + std::string(clock.word()) + "'");
-    const Time now{Duration(clock.integer("Wall"))};
+    const policy::Time now{policy::Duration(clock.integer("Wall"))};
     if (now < last_) clock.fail("Wall", "runs backwards");
     last_ = now;
     const std::uint64_t turn = clock.natural("turn");
@@ -52,14 +52,14 @@
     out_ << reply << "ok\tturn=" << turn << '\n' << std::flush;
   }
 
-  void event(const Line& line, Time now, std::string& reply) {
+  void event(const Line& line, policy::Time now, std::string& reply) {
     if (line.word() == "sheet") return sheet(line);
     const std::uint64_t instance = line.natural("I");
     try {
       if (line.word() == "begin") {
         const std::uint64_t seed = line.natural("RandomSeed");
         controllers_.erase(instance);
-        controllers_.emplace(instance, AdmissionController(decode_settings(line), seed, now));
+        controllers_.emplace(instance, policy::AdmissionController(decode_settings(line), seed, now));
         return;
       }
       if (line.word() == "teardown") {
@@ -91,7 +91,7 @@
 
   EngineList members(const Line& line) const {
     EngineList list = decode_list_head(line);
-    if (list.kind == ListKind::failed) return list;
+    if (list.kind == policy::EngineListKind::failed) return list;
     const auto it = lists_.find(line.natural("RosterId"));
     if (it == lists_.end()) line.fail("RosterId", "no such list");
     list.entries = it->second;
@@ -102,9 +102,9 @@
   std::ostream& out_;
   std::string text_;
   std::size_t number_ = 0;
-  Time last_ = Time::min();
+  policy::Time last_ = policy::Time::min();
   std::map<std::uint64_t, std::vector<EngineEntry>> lists_;
-  std::map<std::uint64_t, AdmissionController> controllers_;
+  std::map<std::uint64_t, policy::AdmissionController> controllers_;
   std::vector<Action> actions_;
 };
 
@@ -122,4 +122,4 @@
   }
 }
 
-}  // namespace lynxstand::wire
+}  // namespace yokestream::simulator_adapter
--- a/src/adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -5,5 +5,5 @@
 int main() {
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
-  return lynxstand::wire::run(std::cin, std::cout, std::cerr);
+  return yokestream::simulator_adapter::run(std::cin, std::cout, std::cerr);
 }
--- a/src/adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -8,7 +8,7 @@
 
 #include "config/settings.h"
 
-namespace lynxstand::wire {
+namespace yokestream::simulator_adapter {
 namespace {
 
 using std::string;
@@ -59,18 +59,18 @@
   return id<Id>(line, name, 0);
 }
 
-EngineId engine(const Line& line) { return EngineId{string(line.text("Engine"))}; }
-
-Outcome outcome(const Line& line) {
-  return choose<Outcome>(line, "Code", line.text("Code"),
-                         {{"delivered", Outcome::served},
-                          {"app_error", Outcome::error},
-                          {"shed", Outcome::shed},
-                          {"expired", Outcome::timed_out},
-                          {"dial_failed", Outcome::unreachable},
-                          {"dropped", Outcome::reset},
-                          {"revoked", Outcome::cancelled},
-                          {"unused", Outcome::never_sent}});
+policy::EngineId engine(const Line& line) { return policy::EngineId{string(line.text("Engine"))}; }
+
+policy::Outcome outcome(const Line& line) {
+  return choose<policy::Outcome>(line, "Code", line.text("Code"),
+                                 {{"delivered", policy::Outcome::served},
+                                  {"app_error", policy::Outcome::error},
+                                  {"shed", policy::Outcome::shed},
+                                  {"expired", policy::Outcome::timed_out},
+                                  {"dial_failed", policy::Outcome::unreachable},
+                                  {"dropped", policy::Outcome::reset},
+                                  {"revoked", policy::Outcome::cancelled},
+                                  {"unused", policy::Outcome::never_sent}});
 }
 
 constexpr std::uint64_t kStatsWork = 4096;  // `Stats`: work in milliseconds x this + memory in steps
@@ -165,54 +165,56 @@
   EngineEntry e;
   if (item.word() != "item") item.fail("item", "expected, found '" + string(item.word()) + "'");
   e.engine = engine(item);
-  e.zone = id<ZoneId>(item, "Dc", 0);
-  e.kind = id<KindId>(item, "Flavor", 0);
-  e.cell = id<CellId>(item, "Group", 0);
-  e.state =
-      choose<EngineState>(item, "StageState", item.text("StageState"),
-                          {{"U", EngineState::up}, {"L", EngineState::draining}, {"D", EngineState::gone}});
+  e.zone = id<policy::ZoneId>(item, "Dc", 0);
+  e.kind = id<policy::KindId>(item, "Flavor", 0);
+  e.cell = id<policy::CellId>(item, "Group", 0);
+  e.state = choose<policy::EngineState>(item, "StageState", item.text("StageState"),
+                                        {{"U", policy::EngineState::up},
+                                         {"L", policy::EngineState::draining},
+                                         {"D", policy::EngineState::gone}});
   e.weight = item.number("PowerHint", 1);
   if (item.has("Launched") && item.integer("Launched") != 0)
-    e.started = Time(Duration(item.integer("Launched")));
+    e.start_time = policy::Time(policy::Duration(item.integer("Launched")));
   return e;
 }
 
 EngineList decode_list_head(const Line& members) {
   EngineList list;
-  list.kind = choose<ListKind>(members, "Kind", members.text("Kind"),
-                               {{"delta", ListKind::changes},
-                                {"full", ListKind::full},
-                                {"cached", ListKind::remembered},
-                                {"failed", ListKind::failed}});
+  list.kind = choose<policy::EngineListKind>(members, "Kind", members.text("Kind"),
+                                             {{"delta", policy::EngineListKind::delta},
+                                              {"full", policy::EngineListKind::full},
+                                              {"cached", policy::EngineListKind::cached},
+                                              {"failed", policy::EngineListKind::failed}});
   return list;
 }
 
 Event decode_event(const Line& line) {
   const auto word = line.word();
   if (word == "demand") {
-    QueryArrived q;
-    q.query = id<QueryId>(line, "Ticket");
-    q.cls = id<ClassId>(line, "Type");
-    q.tenant = id<TenantId>(line, "Project", 0);
-    q.tables = id<TableGroupId>(line, "TableGroup", 0);
-    if (line.has("Relation")) q.order_key = id<OrderKey>(line, "Relation");
+    policy::QueryArrived q;
+    q.query = id<policy::QueryId>(line, "Ticket");
+    q.query_class = id<policy::ClassId>(line, "Type");
+    q.tenant = id<policy::TenantId>(line, "Project", 0);
+    q.table_group = id<policy::TableGroupId>(line, "TableGroup", 0);
+    if (line.has("Relation")) q.order_key = id<policy::OrderKey>(line, "Relation");
     q.memory_mb = line.number("RamMb", 0);
-    if (line.has("Expected") && line.integer("Expected") > 0) q.work = Duration(line.integer("Expected"));
-    q.time_left = Duration(line.integer("Remaining"));
-    q.repeat = line.flag("Repeat");
+    if (line.has("Expected") && line.integer("Expected") > 0)
+      q.work = policy::Duration(line.integer("Expected"));
+    q.time_left = policy::Duration(line.integer("Remaining"));
+    q.is_retry = line.flag("Repeat");
     return q;
   }
-  if (word == "elapsed") return Woken{line.natural("Token")};
+  if (word == "elapsed") return policy::TimerFired{line.natural("Token")};
   if (word == "attempt_end") {
-    AttemptEnded end{id<QueryId>(line, "Ticket"),
-                     id<AttemptNo>(line, "Trial"),
-                     engine(line),
-                     outcome(line),
-                     Duration(line.integer("TimeTaken")),
-                     line.flag("Finished"),
-                     line.row("HealthInfo"),
-                     std::nullopt,
-                     0};
+    policy::AttemptEnded end{id<policy::QueryId>(line, "Ticket"),
+                             id<policy::AttemptNumber>(line, "Trial"),
+                             engine(line),
+                             outcome(line),
+                             policy::Duration(line.integer("TimeTaken")),
+                             line.flag("Finished"),
+                             line.row("HealthInfo"),
+                             std::nullopt,
+                             0};
     if (const std::uint64_t stats = line.natural("Stats", 0); stats > 0) {
       end.work = std::chrono::milliseconds(static_cast<std::int64_t>(stats / kStatsWork));
       end.memory_mb = static_cast<double>(stats % kStatsWork) * kStatsMemoryMb;
@@ -220,25 +222,28 @@
     return end;
   }
   if (word == "heartbeat") {
-    AttemptNote n{id<QueryId>(line, "Ticket"), id<AttemptNo>(line, "Trial"), engine(line), Note::progress,
-                  line.number("Value", 0)};
+    policy::AttemptProgress n{id<policy::QueryId>(line, "Ticket"), id<policy::AttemptNumber>(line, "Trial"),
+                              engine(line), policy::ProgressKind::progress, line.number("Value", 0)};
     const auto sort = line.natural("Sort");
     if (sort == 2)
-      n.note = Note::spills;
+      n.kind = policy::ProgressKind::spilling;
     else if (sort == 3)
-      n.note = n.value == 2 ? Note::waits_for_load : Note::waits_for_memory;
+      n.kind = n.value == 2 ? policy::ProgressKind::waiting_for_table_group
+                            : policy::ProgressKind::waiting_for_memory;
     else if (sort != 1)
       line.fail("Sort", "unknown value");
     return n;
   }
   if (word == "ack_first")
-    return AnswerStarted{id<QueryId>(line, "Ticket"), id<AttemptNo>(line, "Trial"), engine(line)};
-  if (word == "client_left") return ClientLeft{id<QueryId>(line, "Ticket")};
+    return policy::ResponseStarted{id<policy::QueryId>(line, "Ticket"),
+                                   id<policy::AttemptNumber>(line, "Trial"), engine(line)};
+  if (word == "client_left") return policy::ClientDisconnected{id<policy::QueryId>(line, "Ticket")};
   if (word == "ping_result") {
-    return ProbeEnded{engine(line), outcome(line), Duration(line.integer("TimeTaken")),
-                      line.row("HealthInfo")};
+    return policy::ProbeEnded{engine(line), outcome(line), policy::Duration(line.integer("TimeTaken")),
+                              line.row("HealthInfo")};
   }
-  if (word == "note_from") return PeerMessage{id<FrontId>(line, "Who"), unbase64(line, "Payload")};
+  if (word == "note_from")
+    return policy::PeerMessage{id<policy::ManagerId>(line, "Who"), unbase64(line, "Payload")};
   line.fail("", "unknown event '" + string(word) + "'");
 }
 
@@ -287,7 +292,9 @@
   const auto whole = [&](string_view name, auto value) {
     put(name, std::to_string(static_cast<std::uint64_t>(value)));
   };
-  const auto time = [&](string_view name, Duration value) { put(name, std::to_string(value.count())); };
+  const auto time = [&](string_view name, policy::Duration value) {
+    put(name, std::to_string(value.count()));
+  };
   const auto real = [&](string_view name, double value) {
     std::array<char, 32> text;
     const auto end =
@@ -300,34 +307,34 @@
     decltype(whole)& whole_;
     decltype(time)& time_;
     decltype(real)& real_;
-    void operator()(const Send& a) const {
+    void operator()(const policy::Send& a) const {
       start_("try"), whole_("Ticket", a.query), put_("Engine", a.engine.name);
-      if (a.time_out != Duration{}) time_("MaxWait", a.time_out);
+      if (a.timeout != policy::Duration{}) time_("MaxWait", a.timeout);
     }
-    void operator()(const Cancel& a) const {
+    void operator()(const policy::Cancel& a) const {
       start_("recall"), whole_("Ticket", a.query), whole_("Trial", a.attempt);
     }
-    void operator()(const Refuse& a) const {
+    void operator()(const policy::Reject& a) const {
       start_("turn_away"), whole_("Ticket", a.query);
-      if (a.come_back_after > Duration{}) time_("StayAway", a.come_back_after);
+      if (a.retry_after > policy::Duration{}) time_("StayAway", a.retry_after);
     }
-    void operator()(const Fail& a) const { start_("drop_request"), whole_("Ticket", a.query); }
-    void operator()(const SetTerms& a) const {
-      start_("equip"), whole_("Ticket", a.query), real_("Memory", a.memory_mb),
+    void operator()(const policy::Fail& a) const { start_("drop_request"), whole_("Ticket", a.query); }
+    void operator()(const policy::SetExecutionTerms& a) const {
+      start_("equip"), whole_("Ticket", a.query), real_("Memory", a.memory_grant_mb),
           whole_("WeightClass", a.priority);
     }
-    void operator()(const Probe& a) const { start_("sample"), put_("Engine", a.engine.name); }
-    void operator()(const TellPeers& a) const {
+    void operator()(const policy::Probe& a) const { start_("sample"), put_("Engine", a.engine.name); }
+    void operator()(const policy::BroadcastToPeers& a) const {
       start_("memo_to"), put_("Target", "-1"), put_("Payload", base64(a.payload));
     }
-    void operator()(const FollowList&) const { start_("listen"), put_("On", "1"); }
-    void operator()(const FetchList&) const { start_("snapshot"); }
-    void operator()(const WakeAfter& a) const {
-      start_("schedule"), time_("Wait", a.after), whole_("Token", a.token);
+    void operator()(const policy::WatchEngineList&) const { start_("listen"), put_("On", "1"); }
+    void operator()(const policy::FetchEngineList&) const { start_("snapshot"); }
+    void operator()(const policy::StartTimer& a) const {
+      start_("schedule"), time_("Wait", a.delay), whole_("Token", a.token);
     }
   };
   std::visit(Visitor{start, put, whole, time, real}, action);
   out += '\n';
 }
 
-}  // namespace lynxstand::wire
+}  // namespace yokestream::simulator_adapter
--- a/src/adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -9,9 +9,15 @@
 #include <utility>
 #include <vector>
 
-#include "lynxstand/admission.h"
+#include "yokestream/policy/admission_controller.h"
 
-namespace lynxstand::wire {
+namespace yokestream::simulator_adapter {
+
+using policy::Action;
+using policy::EngineEntry;
+using policy::EngineList;
+using policy::Event;
+using policy::Settings;
 
 // Input that is not on the wire's terms. what() names the line and the field.
 class WireError : public std::runtime_error {
@@ -54,4 +60,4 @@
 
 void encode(const Action& action, std::uint64_t instance, std::string& out);
 
-}  // namespace lynxstand::wire
+}  // namespace yokestream::simulator_adapter
--- a/src/learnt/codec.cpp
+++ b/src/snapshot/learned_state_codec.cpp
@@ -1,17 +1,17 @@
-#include "learnt/codec.h"
+#include "snapshot/learned_state_codec.h"
 
 #include <xxhash.h>
 
 #include <algorithm>
 #include <cstring>
 
-namespace yokestream::learnt {
+namespace yokestream::snapshot {
 namespace {
 
-using lynxstand::Learnt;
-using lynxstand::LearntClass;
-using lynxstand::LearntEngine;
-using lynxstand::LearntPool;
+using policy::LearnedClass;
+using policy::LearnedEngine;
+using policy::LearnedPool;
+using policy::LearnedState;
 
 constexpr std::string_view kForm = "yokestream-learnt-1\n";
 constexpr std::size_t kSumBytes = sizeof(XXH64_hash_t);
@@ -74,41 +74,44 @@
 }
 template <class Way, class Pool>
 bool pool(Way& way, Pool& p) {
-  return numbers(way, p.own_seen, p.all_seen, p.mean_work, p.light_time, p.light_threads, p.light_memory,
-                 p.mean_threads, p.mean_memory, p.mean_density);
+  return numbers(way, p.observed_own_queries, p.observed_all_queries, p.mean_work_s, p.unannounced_time_s,
+                 p.unannounced_work_s, p.unannounced_memory_mb_s, p.mean_unannounced_threads,
+                 p.mean_unannounced_memory_mb, p.mean_value_per_work_second);
 }
 template <class Way, class Class>
 bool one_class(Way& way, Class& c) {
-  return numbers(way, c.bias, c.mean_error, c.arrived, c.mean_told, c.outcomes, c.level, c.spread, c.best,
-                 c.billed, c.work_factor, c.memory_factor);
+  return numbers(way, c.bias, c.mean_error, c.arrivals, c.mean_estimated_work_s, c.outcomes,
+                 c.mean_log_slowdown, c.log_slowdown_deviation, c.best_log_slowdown, c.cost_reports,
+                 c.work_factor, c.memory_factor);
 }
 template <class Way>
-bool start(Way& way, std::optional<lynxstand::Time>& started) {
+bool start(Way& way, std::optional<policy::Time>& started) {
   std::int64_t at = started ? started->time_since_epoch().count() : 0;
   std::uint8_t told = started.has_value();
   if (!numbers(way, told, at) || told > 1) return false;
-  started = told ? std::optional(lynxstand::Time(lynxstand::Duration(at))) : std::nullopt;
+  started = told ? std::optional(policy::Time(policy::Duration(at))) : std::nullopt;
   return true;
 }
 template <class Way>
-bool engine(Way& way, Learnt::Engine& e) {
-  std::uint8_t shunned = e.learnt.shunned;
-  if (!way.text(e.id.name) || !start(way, e.started) || !matrix(way, e.learnt.weights) ||
-      !row(way, e.learnt.error) ||
-      !numbers(way, e.learnt.slow, e.learnt.slow_count, e.learnt.failing, shunned) || shunned > 1)
+bool engine(Way& way, LearnedState::Engine& e) {
+  std::uint8_t shunned = e.learned.ejected;
+  if (!way.text(e.id.name) || !start(way, e.start_time) || !matrix(way, e.learned.interference) ||
+      !row(way, e.learned.mean_error) ||
+      !numbers(way, e.learned.log_slowdown, e.learned.recent_outcomes, e.learned.failure_ratio, shunned) ||
+      shunned > 1)
     return false;
-  e.learnt.shunned = shunned;
+  e.learned.ejected = shunned;
   return true;
 }
 template <class Way>
-bool all(Way& way, Learnt& learnt) {
+bool all(Way& way, LearnedState& state) {
   const auto each = [&](auto& list, std::size_t least, auto one) {
     return way.size(list, least) && std::all_of(list.begin(), list.end(), one);
   };
-  return pool(way, learnt.pool) &&
-         each(learnt.classes, sizeof(double), [&](auto& c) { return one_class(way, c); }) &&
-         each(learnt.kinds, sizeof(std::uint32_t), [&](auto& k) { return matrix(way, k); }) &&
-         each(learnt.engines, sizeof(std::uint32_t), [&](auto& e) { return engine(way, e); });
+  return pool(way, state.pool) &&
+         each(state.classes, sizeof(double), [&](auto& c) { return one_class(way, c); }) &&
+         each(state.kinds, sizeof(std::uint32_t), [&](auto& k) { return matrix(way, k); }) &&
+         each(state.engines, sizeof(std::uint32_t), [&](auto& e) { return engine(way, e); });
 }
 
 // Positions mean something under the same names only.
@@ -123,7 +126,7 @@
 
 }  // namespace
 
-std::string encode(Learnt kept, const config::RealSettings& names, lynxstand::Time now) {
+std::string encode(LearnedState kept, const config::RealSettings& names, policy::Time now) {
   if (kept.engines.size() > kMostEngines) kept.engines.resize(kMostEngines);
   std::erase_if(kept.engines, [](const auto& e) { return e.id.name.size() > kLongestName; });
   Writer writer{std::string(kForm)};
@@ -134,8 +137,8 @@
   return std::move(writer.bytes);
 }
 
-std::variant<Inherited, std::string> decode(std::string_view bytes, const config::RealSettings& names,
-                                            lynxstand::Time now) {
+std::variant<RestoredState, std::string> decode(std::string_view bytes, const config::RealSettings& names,
+                                                policy::Time now) {
   if (bytes.size() > kMostBytes) return "it is too long";
   if (!bytes.starts_with(kForm)) return "it is of another form";
   if (bytes.size() < kForm.size() + kSumBytes) return "it is cut short";
@@ -148,11 +151,11 @@
   std::int64_t at = 0;
   if (!numbers(reader, of, at)) return "it is cut short";
   if (of != digest(names)) return "it is of other classes or kinds";
-  Inherited inherited;
-  inherited.age = now.time_since_epoch() - lynxstand::Duration(at);
-  if (at < 0 || inherited.age < lynxstand::Duration{}) return "it is of another clock";
-  if (!all(reader, inherited.learnt) || !reader.bytes.empty()) return "it is of another form";
+  RestoredState inherited;
+  inherited.age = now.time_since_epoch() - policy::Duration(at);
+  if (at < 0 || inherited.age < policy::Duration{}) return "it is of another clock";
+  if (!all(reader, inherited.state) || !reader.bytes.empty()) return "it is of another form";
   return inherited;
 }
 
-}  // namespace yokestream::learnt
+}  // namespace yokestream::snapshot
--- a/src/learnt/codec.h
+++ b/src/snapshot/learned_state_codec.h
@@ -10,22 +10,22 @@
 #include <variant>
 
 #include "config/settings.h"
-#include "lynxstand/learnt.h"
+#include "yokestream/policy/learned_state.h"
 
-namespace yokestream::learnt {
+namespace yokestream::snapshot {
 
 inline constexpr std::size_t kMostBytes = 4 * 1024 * 1024;
 inline constexpr std::size_t kMostEngines = 4096;  // those beyond are left out
 
-struct Inherited {
-  lynxstand::Learnt learnt;
-  lynxstand::Duration age{};
+struct RestoredState {
+  policy::LearnedState state;
+  policy::Duration age{};
 };
 
 // `now` is of a clock that all processes of the machine share.
-std::string encode(lynxstand::Learnt learnt, const config::RealSettings& names, lynxstand::Time now);
+std::string encode(policy::LearnedState learnt, const config::RealSettings& names, policy::Time now);
 // Else: what is wrong with the bytes.
-std::variant<Inherited, std::string> decode(std::string_view bytes, const config::RealSettings& names,
-                                            lynxstand::Time now);
+std::variant<RestoredState, std::string> decode(std::string_view bytes, const config::RealSettings& names,
+                                                policy::Time now);
 
-}  // namespace yokestream::learnt
+}  // namespace yokestream::snapshot
--- a/src/standin/deadline.cpp
+++ b/src/standin/deadline.cpp
@@ -103,7 +103,7 @@
   if (play.incidents) play.incidents(world);
   world.run(play.length + seconds(40));
   seen.services = world.service();
-  if (const auto figures = world.core().queue_figures()) seen.figures = *figures;
+  if (const auto figures = world.core().scheduler_metrics()) seen.figures = *figures;
   seen.left_open = world.core().open_requests();
   for (const Service& s : seen.services) {
     for (const auto& [quoted, came, at] : s.waits) {
@@ -155,7 +155,7 @@
   std::uint64_t last = 0;
   const auto arrive = [&] {
     queues::Arrival a;
-    a.query = lynxstand::QueryId{++last};
+    a.query = policy::QueryId{++last};
     a.member = last % kTeams, a.cls = last % 2, a.told = 0.02;
     a.deadline = now + std::chrono::hours(1), a.wanted = now + seconds(60);
     queues.arrive(now, a);
@@ -165,7 +165,7 @@
   for (std::size_t i = 0; i < kRounds; ++i) {
     now += std::chrono::microseconds(20);
     arrive();
-    queues.over(now, lynxstand::QueryId{i + 1}, {});  // the first ones passed at once: there is room again
+    queues.over(now, policy::QueryId{i + 1}, {});  // the first ones passed at once: there is room again
     while (queues.next(now)) {
     }
   }
--- a/src/standin/door_measure.cpp
+++ b/src/standin/door_measure.cpp
@@ -132,10 +132,10 @@
   door.cores(16);
   Time now{std::chrono::seconds(1000)};
   std::uint64_t last = 0;
-  std::deque<lynxstand::QueryId> in;
+  std::deque<policy::QueryId> in;
   const auto arrive = [&] {
     door::Arrival a;
-    a.query = lynxstand::QueryId{++last};
+    a.query = policy::QueryId{++last};
     a.member = last % kMembers, a.client = last * 7919, a.told = 0.1;
     a.deadline = now + std::chrono::hours(2);
     if (door.arrive(now, a).ruling == door::Ruling::pass) in.push_back(a.query);
--- a/src/standin/duty_process.h
+++ b/src/standin/duty_process.h
@@ -9,7 +9,7 @@
 
 namespace yokestream::standin {
 
-using duty::Fleet;
+using coordination::Fleet;
 using std::chrono::milliseconds;
 
 struct DutyWorld::Process {
--- a/src/standin/duty_troubles.cpp
+++ b/src/standin/duty_troubles.cpp
@@ -14,7 +14,7 @@
   p.fleet.reset();  // it uses the mover
   p.mover = std::make_unique<migration::Mover>(settings_.edges.longest, settings_.duty.drift,
                                                settings_.edges.without);
-  std::vector<duty::Duty*> duties;  // as in net/fleet_keeper.cpp: where areas may move
+  std::vector<coordination::Duty*> duties;  // as in net/fleet_keeper.cpp: where areas may move
   if (settings_.edges.areas > 0) duties.push_back(p.mover.get());
   p.fleet = std::make_unique<Fleet>(settings_.duty, "n" + std::to_string(at), "1", settings_.processes,
                                     local(p), std::move(duties));
@@ -67,7 +67,7 @@
 }
 
 void DutyWorld::ask(const std::string& what, const std::string& text) {
-  const std::string key = duty::Names(settings_.duty.prefix).asks() + what;
+  const std::string key = coordination::Names(settings_.duty.prefix).asks() + what;
   store_.handle(now_, store::Txn{{}, {store::Put{key, text, store::LeaseId::none}}, {}});
   changed();
 }
@@ -80,20 +80,22 @@
 // ---- what is seen
 
 migration::Record DutyWorld::migrations() const {
-  const auto all = store_.range({duty::Names(settings_.duty.prefix).state(migration::Mover::kName), {}, 0});
+  const auto all =
+      store_.range({coordination::Names(settings_.duty.prefix).state(migration::Mover::kName), {}, 0});
   return all.empty() ? migration::Record{}
                      : migration::decode_record(all.front().value).value_or(migration::Record{});
 }
 
 std::optional<std::size_t> DutyWorld::owner() const {
-  const duty::Names names(settings_.duty.prefix);
+  const coordination::Names names(settings_.duty.prefix);
   const std::string line = names.line(Fleet::kDuty);
   const auto all = store_.range({line, store::after_prefix(line), 0});
   const auto first =
       std::min_element(all.begin(), all.end(), [](auto& a, auto& b) { return a.create < b.create; });
   if (first == all.end()) return std::nullopt;
   for (std::size_t p = 0; p < processes_.size(); ++p)
-    if (lives(p) && names.line(Fleet::kDuty) + duty::session_name(fleet(p).session()) == first->key) return p;
+    if (lives(p) && names.line(Fleet::kDuty) + coordination::session_name(fleet(p).session()) == first->key)
+      return p;
   return std::nullopt;
 }
 const Fleet& DutyWorld::fleet(std::size_t p) const { return *processes_[p]->fleet; }
@@ -101,7 +103,7 @@
 double DutyWorld::part(std::size_t at) const {
   const Process& p = *processes_[at];
   if (!p.lives) return 0;
-  return static_cast<double>(p.acting.at(local(p))) / static_cast<double>(duty::kWhole);
+  return static_cast<double>(p.acting.at(local(p))) / static_cast<double>(coordination::kWhole);
 }
 
 }  // namespace yokestream::standin
--- a/src/standin/duty_world.cpp
+++ b/src/standin/duty_world.cpp
@@ -71,7 +71,7 @@
 void DutyWorld::changed() {
   const auto& history = store_.history();
   if (checked_ == history.size()) return;
-  const duty::Names names(settings_.duty.prefix);
+  const coordination::Names names(settings_.duty.prefix);
   for (; checked_ < history.size(); ++checked_) {
     if (figures_.violation.empty()) figures_.violation = checker_.take(history[checked_]);
     if (history[checked_].event.now.key != names.beat(Fleet::kDuty)) continue;
--- a/src/standin/duty_world.h
+++ b/src/standin/duty_world.h
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "duty/fleet.h"
+#include "coordination/fleet.h"
 #include "standin/edge.h"
 #include "standin/history.h"
 #include "standin/store_model.h"
@@ -24,7 +24,7 @@
 
 struct DutySettings {
   std::size_t processes = 3;
-  duty::Settings duty;
+  coordination::Settings duty;
   double lost = 0.02, replies_lost = 0.02, slow = 0.05;  // share of calls; slow: up to the caller's patience
   double watch_cut = 0.01;                               // share of a watch's messages after which it is cut
   double rates = 0.01;                                   // clocks run fast or slow by up to so much
@@ -78,7 +78,7 @@
   void all_well(Duration since_start);  // from then on: each is reached, goes on and lives
 
   std::optional<std::size_t> owner() const;  // by the store's line, if it lives
-  const duty::Fleet& fleet(std::size_t process) const;
+  const coordination::Fleet& fleet(std::size_t process) const;
   double part(std::size_t process) const;  // of the whole, in force now; 0: it does not live
   bool lives(std::size_t process) const;
   StoreModel& store() { return store_; }
--- a/src/standin/edge.cpp
+++ b/src/standin/edge.cpp
@@ -59,8 +59,8 @@
 void Edge::take(const migration::Mover& mover, Time until, Time now, EdgeFigures& figures) {
   const auto& table = mover.table();
   if (!table) closed_since_.clear();  // closed for want of a grant: that is counted as refused
-  for (const auto& [area, rule] : table ? table->rules : std::map<TableGroupId, routes::Rule>{}) {
-    if (rule.loads == routes::Rule::Loads::nowhere)
+  for (const auto& [area, rule] : table ? table->rules : std::map<TableGroupId, routing::Rule>{}) {
+    if (rule.loads == routing::Rule::Loads::nowhere)
       closed_since_.emplace(area, now);
     else if (const auto since = closed_since_.extract(area); !since.empty())
       figures.closed.push_back(now - since.mapped());
@@ -68,7 +68,7 @@
   granted_ = table.has_value();
   until_ = until;
   if (table && table->epoch != routes_.epoch()) routes_.swap(*table);
-  routes_.extend(granted_ ? duty::counted(until) : Time::min());
+  routes_.extend(granted_ ? coordination::counted(until) : Time::min());
 }
 
 // An area that no plan has touched yet goes to its old side here: what is anywhere can't be held to a side.
--- a/src/standin/edge.h
+++ b/src/standin/edge.h
@@ -12,9 +12,9 @@
 
 namespace yokestream::standin {
 
-using lynxstand::Duration;
-using lynxstand::TableGroupId;
-using lynxstand::Time;
+using policy::Duration;
+using policy::TableGroupId;
+using policy::Time;
 
 struct EdgeSettings {
   std::size_t areas = 0;                               // 0: nothing is sent
@@ -67,7 +67,7 @@
   };
   const EdgeSettings& settings_;
   const std::string name_;
-  routes::Routes routes_;
+  routing::Routes routes_;
   bool granted_ = false;
   Time until_ = Time::min();
   std::uint64_t asked_ = 0;
--- a/src/standin/engine_model.h
+++ b/src/standin/engine_model.h
@@ -17,13 +17,13 @@
 #include <string>
 #include <vector>
 
-#include "lynxstand/admission.h"
 #include "standin/draw.h"
+#include "yokestream/policy/admission_controller.h"
 
 namespace yokestream::standin {
 
-using lynxstand::Duration;
-using lynxstand::Time;
+using policy::Duration;
+using policy::Time;
 
 struct Query {
   std::string id;
--- a/src/standin/fleet.cpp
+++ b/src/standin/fleet.cpp
@@ -1,6 +1,6 @@
 #include "standin/fleet.h"
 
-#include "duty/shares.h"
+#include "coordination/shares.h"
 #include "standin/fleet_seat.h"
 
 namespace yokestream::standin {
@@ -25,7 +25,7 @@
   for (std::size_t i = 0; i < settings_.engines; ++i)
     pool.engines.push_back(engines_[add_engine(false)].endpoint);
   config::Config config = config::decode_config(platform_config(pool));
-  config.settings.fronts = static_cast<std::uint32_t>(settings_.managers);
+  config.settings.manager_count = static_cast<std::uint32_t>(settings_.managers);
   const double capacity = kCores * static_cast<double>(settings_.engines);
   const double rate = settings_.load * capacity / mean_work();
   const auto busy = static_cast<std::size_t>(settings_.busy_part * static_cast<double>(settings_.managers));
@@ -47,15 +47,15 @@
 
 // The parts that the duty comes to, once all have told their traffic.
 void Fleet::share_out() {
-  std::map<std::string, duty::Fact> living;
+  std::map<std::string, coordination::Fact> living;
   for (const auto& seat : seats_)
     living[std::to_string(seat->index)] = {std::to_string(seat->index), "", seat->per_s, {}, {}};
-  const duty::Shares shares(settings_.managers);
-  duty::Table table;
+  const coordination::Shares shares(settings_.managers);
+  coordination::Table table;
   while (const auto next = shares.next(table, living)) table = *next;
   for (const auto& seat : seats_)
-    seat->part =
-        static_cast<double>(table.parts[std::to_string(seat->index)]) / static_cast<double>(duty::kWhole);
+    seat->part = static_cast<double>(table.parts[std::to_string(seat->index)]) /
+                 static_cast<double>(coordination::kWhole);
 }
 
 void Fleet::later(Time time, std::function<void()> what) {
@@ -112,12 +112,12 @@
   second.worth_asked += kind.worth;
   char id[17];
   std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(++last_id_));
-  manager::Arrived a;
+  dispatch::RequestReceived a;
   a.call = ++seat.last_call;
-  a.session = manager::SessionId{a.call % kSessions + 1};
+  a.session = dispatch::SessionId{a.call % kSessions + 1};
   a.request_id = id;
-  a.cls = lynxstand::ClassId{static_cast<std::uint32_t>(ask.cls)};
-  a.tables = lynxstand::TableGroupId{ask.group};
+  a.query_class = policy::ClassId{static_cast<std::uint32_t>(ask.cls)};
+  a.table_group = policy::TableGroupId{ask.group};
   a.memory_mb = ask.memory;
   a.work = from_seconds(ask.work * kToldPart * std::exp(kToldScatter * gauss));
   a.deadline = ask.deadline;
--- a/src/standin/fleet_engines.cpp
+++ b/src/standin/fleet_engines.cpp
@@ -19,13 +19,15 @@
 // What comes to a cold engine, also what it turns away: over a window it bears so many times what it can do.
 void Fleet::note_cold(Engine& e, double work) {
   const auto& s = seats_.front()->config.settings;
-  const double age = e.cold_since ? seconds_of(now_ - *e.cold_since) / seconds_of(s.cold) : 1;
+  const double age = e.cold_since ? seconds_of(now_ - *e.cold_since) / seconds_of(s.slow_start_window) : 1;
   if (age >= 1) return;
   e.come.emplace_back(now_, work);
   double sum = 0;
-  for (const auto& [time, w] : e.come) sum += now_ - time < s.tip_after ? w : 0;
+  for (const auto& [time, w] : e.come) sum += now_ - time < s.cold_overload_window ? w : 0;
   const double part = e.settings.cold_part + (1 - e.settings.cold_part) * age;
-  if (e.tipped || sum <= s.tip_multiple * part * e.settings.cores * seconds_of(s.tip_after)) return;
+  if (e.tipped ||
+      sum <= s.cold_overload_multiple * part * e.settings.cores * seconds_of(s.cold_overload_window))
+    return;
   e.tipped = true;
   ++figures_.tipped;
 }
@@ -50,12 +52,12 @@
     if (++ask.runs > 1 && query.load) ++figures_.loads_run_twice;
     return reschedule(engine);
   }
-  EngineAnswer full;
+  EngineResponse full;
   full.id = id;
-  full.word = AnswerWord::overload;
+  full.type = ResponseType::overloaded;
   Seat& to = *seats_[seat];
   later(now_ + kWire, [&to, link, full, life = to.life] {
-    to.over(link, life, manager::Answered{manager::LinkId{link}, full});
+    to.over(link, life, dispatch::ResponseReceived{dispatch::EngineConnectionId{link}, full});
   });
 }
 
@@ -69,10 +71,10 @@
     e.runs.erase(it);
     if (age < seconds_of(e.settings.cold_for)) figures_.cold_work += ended.work;
     if (e.silent) continue;
-    const EngineAnswer answer = served_answer(*e.model, ended);
+    const EngineResponse answer = served_answer(*e.model, ended);
     Seat& to = *seats_[seat];
     later(now_ + kWire, [&to, on = link, answer, life = to.life] {
-      to.over(on, life, manager::Answered{manager::LinkId{on}, answer});
+      to.over(on, life, dispatch::ResponseReceived{dispatch::EngineConnectionId{on}, answer});
     });
   }
   reschedule(engine);
@@ -112,7 +114,7 @@
           [this, s = seat.get(), event, engine, leaves, life = seat->life] {
             if (s->life != life || !s->core) return;
             if (leaves) later(now_ + std::chrono::milliseconds(250), [s, engine] { s->gone.insert(engine); });
-            s->hear(manager::ListChanged{event});
+            s->hear(dispatch::EngineListChanged{event});
           });
   }
 }
@@ -130,7 +132,7 @@
     }
     for (const auto id : lost) {
       seat->links.erase(id);
-      seat->hear(manager::LinkEnded{manager::LinkId{id}, "reset"});
+      seat->hear(dispatch::EngineDisconnected{dispatch::EngineConnectionId{id}, "reset"});
     }
   }
   list(engine, "removed");
--- a/src/standin/fleet_seat.h
+++ b/src/standin/fleet_seat.h
@@ -6,7 +6,7 @@
 #include <cstdio>
 
 #include "base/seconds.h"
-#include "manager/manager.h"
+#include "dispatch/dispatcher.h"
 #include "standin/fleet.h"
 #include "standin/pool.h"
 
@@ -34,7 +34,7 @@
 }
 
 // One manager: its core, and what stands for its sockets.
-struct Fleet::Seat : manager::ClientPort, manager::EnginePort, manager::Log {
+struct Fleet::Seat : dispatch::ClientPort, dispatch::EnginePort, dispatch::Log {
   struct Link {
     std::size_t engine = 0;
     bool up = false;
@@ -50,10 +50,12 @@
     config.seed = fleet.random_ ^ (index + 1) ^ ++life;
     gone = fleet.gone_engines();
     const auto from_unix = [](std::int64_t ms) { return Time(std::chrono::milliseconds(ms)); };
-    budget = std::make_unique<manager::Budget>(64 << 20);
-    core = std::make_unique<manager::Manager>(config, fleet.now_, from_unix, *budget, *this, *this, *this);
-    if (part > 0) core->count_fronts(1 / part);
-    for (std::uint64_t id = 1; id <= kSessions; ++id) hear(manager::SessionBegan{manager::SessionId{id}, id});
+    budget = std::make_unique<dispatch::Budget>(64 << 20);
+    core =
+        std::make_unique<dispatch::Dispatcher>(config, fleet.now_, from_unix, *budget, *this, *this, *this);
+    if (part > 0) core->set_manager_count(1 / part);
+    for (std::uint64_t id = 1; id <= kSessions; ++id)
+      hear(dispatch::SessionOpened{dispatch::SessionId{id}, id});
   }
   void trace(std::string_view what) const {
     if (!fleet.settings_.trace) return;
@@ -62,13 +64,13 @@
     line += what;
     fleet.settings_.trace(line);
   }
-  void trace(const char* what, manager::LinkId link, std::string_view id) const {
+  void trace(const char* what, dispatch::EngineConnectionId link, std::string_view id) const {
     if (!fleet.settings_.trace) return;
     std::string line = std::string(what) + ' ' + std::to_string(static_cast<std::uint64_t>(link)) + ' ';
     line += id;
     trace(line);
   }
-  void hear(manager::Event event) {
+  void hear(dispatch::Event event) {
     if (!core) return;
     if (fleet.settings_.trace) trace(describe(event));
     core->handle(fleet.now_, std::move(event));
@@ -96,22 +98,22 @@
     ++life;
   }
   // What comes over a link, if both still are.
-  void over(std::uint64_t link, std::uint64_t in_life, manager::Event event) {
+  void over(std::uint64_t link, std::uint64_t in_life, dispatch::Event event) {
     if (life == in_life && core && links.count(link)) hear(std::move(event));
   }
 
-  void serve(manager::SessionId, manager::CallId c, manager::Result) override { say(c, "served"); }
-  void refuse(manager::SessionId, manager::CallId c, Duration) override { say(c, "refused"); }
-  void fail(manager::SessionId, manager::CallId c, std::string_view) override { say(c, "failed"); }
-  void say(manager::CallId call, const char* how) {
+  void send_result(dispatch::SessionId, dispatch::CallId c, dispatch::Result) override { say(c, "served"); }
+  void send_rejection(dispatch::SessionId, dispatch::CallId c, Duration) override { say(c, "refused"); }
+  void send_failure(dispatch::SessionId, dispatch::CallId c, std::string_view) override { say(c, "failed"); }
+  void say(dispatch::CallId call, const char* how) {
     if (fleet.settings_.trace) trace(how + std::string(" ") + std::to_string(call));
     fleet.answered(index, call, how);
   }
-  void answer_probe(manager::SessionId, manager::CallId, bool) override {}
-  void close(manager::SessionId) override {}
-  bool close_idle(manager::SessionId) override { return false; }  // these clients are never idle for long
+  void send_readiness(dispatch::SessionId, dispatch::CallId, bool) override {}
+  void close(dispatch::SessionId) override {}
+  bool close_if_idle(dispatch::SessionId) override { return false; }  // these clients are never idle for long
 
-  void open(manager::LinkId link, const config::Endpoint& endpoint, Time deadline) override {
+  void connect(dispatch::EngineConnectionId link, const config::Endpoint& endpoint, Time deadline) override {
     const auto id = static_cast<std::uint64_t>(link);
     const auto engine = static_cast<std::size_t>(endpoint.port - kFirstPort);
     trace("open", link, exact(deadline));
@@ -123,50 +125,50 @@
       Engine& e = fleet.engines_[engine];
       if (!e.up || silent) {
         links.erase(id);
-        return hear(manager::LinkEnded{manager::LinkId{id}, "not up"});
+        return hear(dispatch::EngineDisconnected{dispatch::EngineConnectionId{id}, "not up"});
       }
       links[id].up = true;
       fleet.figures_.most_connections = std::max(fleet.figures_.most_connections, ++e.connections);
-      hear(manager::LinkUp{manager::LinkId{id}});
+      hear(dispatch::EngineConnected{dispatch::EngineConnectionId{id}});
     });
   }
-  void send(manager::LinkId link, manager::SendTag, EngineRequest request) override {
+  void send(dispatch::EngineConnectionId link, dispatch::AttemptTag, EngineRequest request) override {
     const auto id = static_cast<std::uint64_t>(link);
     const std::size_t engine = links.at(id).engine;
-    trace("send", link, request.id + ' ' + std::to_string(request.band) + ' ' + exact(request.deadline));
+    trace("send", link, request.id + ' ' + std::to_string(request.priority) + ' ' + exact(request.deadline));
     ++fleet.figures_.sends;
     fleet.figures_.sends_to_gone += gone.count(engine);
     fleet.later(fleet.now_ + kWire + kWire + kWire, [this, id, engine, request, in_life = life] {
-      if (life == in_life && links.count(id)) fleet.start(engine, index, id, request.id, request.band);
+      if (life == in_life && links.count(id)) fleet.start(engine, index, id, request.id, request.priority);
     });
   }
-  bool withdraw(manager::LinkId, manager::SendTag) override { return false; }
-  void stop(manager::LinkId link, std::string_view id) override {
+  bool withdraw(dispatch::EngineConnectionId, dispatch::AttemptTag) override { return false; }
+  void cancel(dispatch::EngineConnectionId link, std::string_view id) override {
     trace("stop", link, id);
     const std::size_t engine = links.at(static_cast<std::uint64_t>(link)).engine;
     fleet.later(fleet.now_ + kWire, [this, engine, id = std::string(id)] { fleet.stopped(engine, id); });
   }
-  void hello(manager::LinkId link, std::string_view tag) override {
+  void ping(dispatch::EngineConnectionId link, std::string_view tag) override {
     trace("hello", link, tag);
     const auto id = static_cast<std::uint64_t>(link);
-    EngineAnswer green;
+    EngineResponse green;
     green.id = std::string(tag);
-    green.word = AnswerWord::green;
+    green.type = ResponseType::pong;
     fleet.later(fleet.now_ + kWire + kWire, [this, id, green, in_life = life] {
       if (life != in_life || !links.count(id)) return;
       const Engine& e = fleet.engines_[links[id].engine];
-      if (e.up && !e.silent) hear(manager::Answered{manager::LinkId{id}, green});
+      if (e.up && !e.silent) hear(dispatch::ResponseReceived{dispatch::EngineConnectionId{id}, green});
     });
   }
-  void nice(manager::LinkId link, std::string_view id, std::uint32_t band) override {
+  void set_priority(dispatch::EngineConnectionId link, std::string_view id, std::uint32_t band) override {
     trace("nice", link, std::string(id) + ' ' + std::to_string(band));
     const std::size_t engine = links.at(static_cast<std::uint64_t>(link)).engine;
     fleet.engines_[engine].model->nice(fleet.now_, std::string(id), band);
     fleet.reschedule(engine);
   }
-  void fetch(manager::LinkId, std::string_view, std::uint32_t) override {}
-  void end(manager::LinkId, std::string_view) override {}
-  void close(manager::LinkId link) override {
+  void fetch_page(dispatch::EngineConnectionId, std::string_view, std::uint32_t) override {}
+  void release_result(dispatch::EngineConnectionId, std::string_view) override {}
+  void close(dispatch::EngineConnectionId link) override {
     trace("close", link, "");
     const auto it = links.find(static_cast<std::uint64_t>(link));
     if (it == links.end()) return;
@@ -180,7 +182,7 @@
     links.erase(it);
     for (const auto& id : open) fleet.stopped(engine, id);
   }
-  void note(std::string_view) override {}
+  void write(std::string_view) override {}
 
   Fleet& fleet;
   const std::size_t index;
@@ -192,8 +194,8 @@
   std::map<std::uint64_t, std::string> calls;  // open requests, by call
   std::set<std::size_t> gone;                  // engines that it heard to drain or be gone
   Time ticks_at = Time::max();
-  std::unique_ptr<manager::Budget> budget;
-  std::unique_ptr<manager::Manager> core;  // last: it uses the rest
+  std::unique_ptr<dispatch::Budget> budget;
+  std::unique_ptr<dispatch::Dispatcher> core;  // last: it uses the rest
 };
 
 }  // namespace yokestream::standin
--- a/src/standin/growth_measure.cpp
+++ b/src/standin/growth_measure.cpp
@@ -11,14 +11,14 @@
 #include <vector>
 
 #include "config/config.h"
-#include "manager/manager.h"
+#include "dispatch/dispatcher.h"
 #include "standin/pool.h"
 
 namespace yokestream::standin {
 namespace {
 
-using lynxstand::Duration;
-using lynxstand::Time;
+using policy::Duration;
+using policy::Time;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -30,18 +30,18 @@
 constexpr double kCores = 8;
 
 // Engines that answer each request after the same time; clients that only ask.
-class Growth : manager::ClientPort, manager::EnginePort, manager::Log {
+class Growth : dispatch::ClientPort, dispatch::EnginePort, dispatch::Log {
  public:
   explicit Growth(const GrowthSettings& settings)
       : settings_(settings), random_(settings.seed), config_(configure(settings)) {}
 
   void run() {
     plan_replacements();
-    manager::Manager core(
+    dispatch::Dispatcher core(
         config_, now_, [](std::int64_t ms) { return Time(Duration(ms * 1'000'000)); }, budget_, *this, *this,
         *this);
     core_ = &core;
-    core.handle(now_, manager::SessionBegan{manager::SessionId{1}});
+    core.handle(now_, dispatch::SessionOpened{dispatch::SessionId{1}});
     const Time end = now_ + kLength;
     Time next_request = now_;
     while (now_ < end) {
@@ -51,11 +51,11 @@
       now_ = std::max(now_, next);
       core.tick(now_);
       while (!changes_.empty() && changes_.begin()->first <= now_) {
-        core.handle(now_, manager::ListChanged{changes_.begin()->second});
+        core.handle(now_, dispatch::EngineListChanged{changes_.begin()->second});
         changes_.erase(changes_.begin());
       }
-      for (const manager::LinkId link : std::exchange(coming_up_, {}))
-        core.handle(now_, manager::LinkUp{link});
+      for (const dispatch::EngineConnectionId link : std::exchange(coming_up_, {}))
+        core.handle(now_, dispatch::EngineConnected{link});
       while (!answers_.empty() && answers_.top().at <= now_) answer_next();
       if (next_request <= now_) {
         arrive();
@@ -68,7 +68,7 @@
  private:
   struct Due {
     Time at;
-    manager::LinkId link{};
+    dispatch::EngineConnectionId link{};
     std::string id;
     bool operator<(const Due& other) const { return at > other.at; }
   };
@@ -81,7 +81,7 @@
     pool.capacity_per_s = 0;
     for (std::size_t i = 0; i < settings.engines; ++i) pool.engines.push_back(address(i));
     config::Config config = config::decode_config(platform_config(pool));
-    config.settings.fronts = static_cast<std::uint32_t>(settings.managers);
+    config.settings.manager_count = static_cast<std::uint32_t>(settings.managers);
     return config;
   }
   static config::Endpoint address(std::size_t i) {
@@ -116,11 +116,11 @@
   void arrive() {
     char id[17];
     std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(++asked_));
-    manager::Arrived a;
-    a.session = manager::SessionId{1};
+    dispatch::RequestReceived a;
+    a.session = dispatch::SessionId{1};
     a.call = asked_;
     a.request_id = id;
-    a.cls = lynxstand::ClassId{kLookup};
+    a.query_class = policy::ClassId{kLookup};
     a.memory_mb = 64;
     a.work = kTakes;
     a.deadline = now_ + seconds(4);
@@ -130,14 +130,14 @@
   void answer_next() {
     const Due due = answers_.top();
     answers_.pop();
-    EngineAnswer answer;
+    EngineResponse answer;
     answer.id = due.id;
-    answer.word = AnswerWord::served;
-    answer.pages = 1;
+    answer.type = ResponseType::result;
+    answer.page_count = 1;
     answer.body = "a\tb\tc\n";
-    answer.elapsed_ms = 150;
-    answer.report = {0, std::floor(0.4 * config_.settings.kinds[0].cores), 0};
-    core_->handle(now_, manager::Answered{due.link, std::move(answer)});
+    answer.work_ms = 150;
+    answer.load_report = {0, std::floor(0.4 * config_.settings.kinds[0].cores), 0};
+    core_->handle(now_, dispatch::ResponseReceived{due.link, std::move(answer)});
   }
   void report() const {
     rusage usage{};
@@ -151,40 +151,40 @@
         usage.ru_maxrss);
   }
 
-  void serve(manager::SessionId, manager::CallId, manager::Result) override { ++served_; }
-  void refuse(manager::SessionId, manager::CallId, Duration) override { ++refused_; }
-  void fail(manager::SessionId, manager::CallId, std::string_view) override { ++refused_; }
-  void answer_probe(manager::SessionId, manager::CallId, bool) override {}
-  void close(manager::SessionId) override {}
-  bool close_idle(manager::SessionId) override { return false; }
-  void open(manager::LinkId link, const config::Endpoint&, Time) override {
+  void send_result(dispatch::SessionId, dispatch::CallId, dispatch::Result) override { ++served_; }
+  void send_rejection(dispatch::SessionId, dispatch::CallId, Duration) override { ++refused_; }
+  void send_failure(dispatch::SessionId, dispatch::CallId, std::string_view) override { ++refused_; }
+  void send_readiness(dispatch::SessionId, dispatch::CallId, bool) override {}
+  void close(dispatch::SessionId) override {}
+  bool close_if_idle(dispatch::SessionId) override { return false; }
+  void connect(dispatch::EngineConnectionId link, const config::Endpoint&, Time) override {
     ++opened_;
     coming_up_.push_back(link);
     open_.emplace(link, false);
     most_open_ = std::max(most_open_, open_.size());
   }
-  void send(manager::LinkId link, manager::SendTag, EngineRequest request) override {
+  void send(dispatch::EngineConnectionId link, dispatch::AttemptTag, EngineRequest request) override {
     answers_.push({now_ + kTakes, link, request.id});
   }
-  bool withdraw(manager::LinkId, manager::SendTag) override { return false; }
-  void stop(manager::LinkId, std::string_view) override {}
-  void hello(manager::LinkId, std::string_view) override {}
-  void nice(manager::LinkId, std::string_view, std::uint32_t) override {}
-  void fetch(manager::LinkId, std::string_view, std::uint32_t) override {}
-  void end(manager::LinkId, std::string_view) override {}
-  void close(manager::LinkId link) override { open_.erase(link); }
-  void note(std::string_view) override {}
+  bool withdraw(dispatch::EngineConnectionId, dispatch::AttemptTag) override { return false; }
+  void cancel(dispatch::EngineConnectionId, std::string_view) override {}
+  void ping(dispatch::EngineConnectionId, std::string_view) override {}
+  void set_priority(dispatch::EngineConnectionId, std::string_view, std::uint32_t) override {}
+  void fetch_page(dispatch::EngineConnectionId, std::string_view, std::uint32_t) override {}
+  void release_result(dispatch::EngineConnectionId, std::string_view) override {}
+  void close(dispatch::EngineConnectionId link) override { open_.erase(link); }
+  void write(std::string_view) override {}
 
   const GrowthSettings settings_;
   std::mt19937 random_;
   const config::Config config_;
-  manager::Budget budget_{16 << 20};
-  manager::Manager* core_ = nullptr;
+  dispatch::Budget budget_{16 << 20};
+  dispatch::Dispatcher* core_ = nullptr;
   Time now_{std::chrono::hours(10)};
   std::multimap<Time, config::MembersEvent> changes_;
   std::priority_queue<Due> answers_;
-  std::map<manager::LinkId, bool> open_;
-  std::vector<manager::LinkId> coming_up_;
+  std::map<dispatch::EngineConnectionId, bool> open_;
+  std::vector<dispatch::EngineConnectionId> coming_up_;
   std::uint64_t asked_ = 0, served_ = 0, refused_ = 0, opened_ = 0, list_bytes_ = 0;
   std::size_t most_open_ = 0;
 };
--- a/src/standin/history.cpp
+++ b/src/standin/history.cpp
@@ -4,12 +4,12 @@
 
 namespace yokestream::standin {
 
-using duty::Part;
+using coordination::Part;
 
 const std::string& DutyChecker::take(const StoreModel::Change& change) {
   const auto& kv = change.event.now;
   const bool put = change.event.kind == store::WatchEvent::Kind::put;
-  if (kv.key.starts_with(names_.line(duty::Fleet::kDuty))) {
+  if (kv.key.starts_with(names_.line(coordination::Fleet::kDuty))) {
     if (put)
       line_.emplace(kv.key, kv.create);
     else
@@ -17,10 +17,10 @@
   } else if (kv.key.starts_with(names_.alive())) {
     const std::string session = kv.key.substr(names_.alive().size());
     if (put)
-      living_[session] = known_[session] = duty::decode_fact(kv.value).value_or(duty::Fact{});
+      living_[session] = known_[session] = coordination::decode_fact(kv.value).value_or(coordination::Fact{});
     else
       living_.erase(session);
-  } else if (put && kv.key == names_.state(duty::Fleet::kDuty)) {
+  } else if (put && kv.key == names_.state(coordination::Fleet::kDuty)) {
     state(change);
   }
   return broken_;
@@ -31,7 +31,7 @@
 }
 
 void DutyChecker::state(const StoreModel::Change& change) {
-  const auto next = duty::decode_table(change.event.now.value);
+  const auto next = coordination::decode_table(change.event.now.value);
   if (!next) return;  // not by an owner of ours
   store::Revision oldest = 0;
   for (const auto& [key, create] : line_) oldest = oldest == 0 ? create : std::min(oldest, create);
@@ -40,7 +40,7 @@
          "written in term " + std::to_string(next->term) + ", the owner's is " + std::to_string(oldest));
   if (next->term < table_.term) fail("S1", change, "an older term after a newer one");
   if (next->epoch != table_.epoch + 1) fail("S1", change, "an epoch that does not follow");
-  if (!duty::Shares::acknowledged(table_, living_, duty::Fleet::kDuty))
+  if (!coordination::Shares::acknowledged(table_, living_, coordination::Fleet::kDuty))
     fail("S3", change, "a living session has not acknowledged epoch " + std::to_string(table_.epoch));
   // While the table is taken up each may count on the larger of two parts. Only where it was too much before,
   // as sessions came beyond the count that is told, may it be so still, and no part grows then.
--- a/src/standin/history.h
+++ b/src/standin/history.h
@@ -6,8 +6,8 @@
 #include <set>
 #include <string>
 
-#include "duty/fleet.h"
-#include "duty/shares.h"
+#include "coordination/fleet.h"
+#include "coordination/shares.h"
 #include "standin/store_model.h"
 
 namespace yokestream::standin {
@@ -23,11 +23,11 @@
   void state(const StoreModel::Change& change);
   void fail(const std::string& rule, const StoreModel::Change& change, const std::string& why);
 
-  const duty::Names names_;
-  const duty::Shares shares_;
-  std::map<std::string, store::Revision> line_;       // candidates by key: their create revision
-  std::map<std::string, duty::Fact> living_, known_;  // now; ever
-  duty::Table table_;
+  const coordination::Names names_;
+  const coordination::Shares shares_;
+  std::map<std::string, store::Revision> line_;               // candidates by key: their create revision
+  std::map<std::string, coordination::Fact> living_, known_;  // now; ever
+  coordination::Table table_;
   std::string broken_;
 };
 
--- a/src/standin/migration_measure.cpp
+++ b/src/standin/migration_measure.cpp
@@ -87,15 +87,15 @@
 
 // Nanoseconds of one lookup, of 64 areas among 1,024 and 80 engines.
 double lookup_ns() {
-  routes::Routes routes;
-  routes::Table table;
+  routing::Routes routes;
+  routing::Table table;
   table.epoch = 1;
   table.origins = {{{"a"}, {}, {}, {}}, {{"b"}, {}, {}, {}}};
   std::vector<TableGroupId> movable;
   for (std::uint64_t a = 0; a < 1024; ++a) {
     movable.push_back(TableGroupId{a});
     if (a < kAreas)
-      table.rules[TableGroupId{a * 16}] = {0, 1, routes::Rule::kAll / 2, routes::Rule::Loads::from};
+      table.rules[TableGroupId{a * 16}] = {0, 1, routing::Rule::kAll / 2, routing::Rule::Loads::from};
   }
   routes.expect(movable);
   for (int e = 0; e < 80; ++e) {
--- a/src/standin/scenarios.cpp
+++ b/src/standin/scenarios.cpp
@@ -145,7 +145,7 @@
   if (scenario.incidents) scenario.incidents(world);
   world.run(scenario.length + seconds(30));
   Played out;
-  out.door = world.core().door_figures();
+  out.door = world.core().throttle_metrics();
   const auto& service = world.service();
   out.usual.assign(service.begin(), service.begin() + static_cast<std::ptrdiff_t>(usual));
   for (std::size_t i = usual; i < service.size(); ++i) {
--- a/src/standin/schedule.h
+++ b/src/standin/schedule.h
@@ -5,7 +5,7 @@
 #include <functional>
 #include <tuple>
 
-#include "messages/engine.h"
+#include "protocol/engine_messages.h"
 #include "standin/engine_model.h"
 
 namespace yokestream::standin {
@@ -17,16 +17,16 @@
   bool operator>(const Due& other) const { return std::tie(time, order) > std::tie(other.time, other.order); }
 };
 
-inline EngineAnswer served_answer(const EngineModel& model, const EngineModel::Ended& ended) {
-  EngineAnswer answer;
+inline EngineResponse served_answer(const EngineModel& model, const EngineModel::Ended& ended) {
+  EngineResponse answer;
   answer.id = ended.id;
-  answer.word = AnswerWord::served;
-  answer.pages = 1;
+  answer.type = ResponseType::result;
+  answer.page_count = 1;
   answer.body = "a\tb\tc\n";
-  answer.elapsed_ms = ended.work * 1000;
-  answer.rss_mb = ended.memory;
-  answer.report = {static_cast<double>(model.queued()), static_cast<double>(model.running()),
-                   model.granted()};
+  answer.work_ms = ended.work * 1000;
+  answer.memory_mb = ended.memory;
+  answer.load_report = {static_cast<double>(model.queued()), static_cast<double>(model.running()),
+                        model.granted()};
   return answer;
 }
 
--- a/src/standin/store_model.h
+++ b/src/standin/store_model.h
@@ -8,13 +8,13 @@
 #include <string>
 #include <vector>
 
-#include "lynxstand/settings.h"
 #include "store/values.h"
+#include "yokestream/policy/settings.h"
 
 namespace yokestream::standin {
 
-using lynxstand::Duration;
-using lynxstand::Time;
+using policy::Duration;
+using policy::Time;
 
 // An answer with the published code of its kind; code 0: done.
 struct StoreAnswer {
--- a/src/standin/trace.cpp
+++ b/src/standin/trace.cpp
@@ -8,7 +8,7 @@
 namespace yokestream::standin {
 namespace {
 
-using manager::Event;
+using dispatch::Event;
 
 // Joins its parts by single spaces.
 template <class... Parts>
@@ -27,9 +27,9 @@
   return out;
 }
 
-std::string describe_request(const manager::Arrived& a) {
-  return line(a.session, a.call, a.request_id, a.cls, a.tenant, a.tables, exact(a.memory_mb),
-              a.work ? exact(*a.work) : "-", exact(a.deadline), a.repeat, a.statement);
+std::string describe_request(const dispatch::RequestReceived& a) {
+  return line(a.session, a.call, a.request_id, a.query_class, a.tenant, a.table_group, exact(a.memory_mb),
+              a.work ? exact(*a.work) : "-", exact(a.deadline), a.is_retry, a.statement);
 }
 
 std::string describe_list(const config::MembersEvent& event) {
@@ -40,37 +40,47 @@
   return out;
 }
 
-std::string describe_answer(const EngineAnswer& a) {
-  std::string out = line(a.id, a.word, a.pages, a.page, a.remark, exact(a.datum),
-                         a.elapsed_ms ? exact(*a.elapsed_ms) : "-", exact(a.rss_mb), a.body);
-  for (const double x : a.report) out += ' ' + exact(x);
+std::string describe_answer(const EngineResponse& a) {
+  std::string out = line(a.id, a.type, a.page_count, a.page_index, a.progress, exact(a.progress_value),
+                         a.work_ms ? exact(*a.work_ms) : "-", exact(a.memory_mb), a.body);
+  for (const double x : a.load_report) out += ' ' + exact(x);
   return out;
 }
 
 struct EventWords {
-  std::string operator()(const manager::SessionBegan& e) const {
+  std::string operator()(const dispatch::SessionOpened& e) const {
     return line("session", e.session, e.origin);
   }
-  std::string operator()(const manager::Arrived& e) const { return line("request", describe_request(e)); }
-  std::string operator()(const manager::BadRequest& e) const {
+  std::string operator()(const dispatch::RequestReceived& e) const {
+    return line("request", describe_request(e));
+  }
+  std::string operator()(const dispatch::BadRequest& e) const {
     return line("bad", e.session, e.call, e.problem);
   }
-  std::string operator()(const manager::GaveUp& e) const { return line("gave-up", e.session, e.call); }
-  std::string operator()(const manager::ProbeAsked& e) const { return line("probe", e.session, e.call); }
-  std::string operator()(const manager::QuoteAsked& e) const {
+  std::string operator()(const dispatch::RequestCancelled& e) const {
+    return line("gave-up", e.session, e.call);
+  }
+  std::string operator()(const dispatch::ProbeReceived& e) const { return line("probe", e.session, e.call); }
+  std::string operator()(const dispatch::QuoteRequested& e) const {
     return line("quote", describe_request(e.request));
   }
-  std::string operator()(const manager::SessionEnded& e) const { return line("session-end", e.session); }
-  std::string operator()(const manager::SessionStalled& e) const { return line("stalled", e.session); }
-  std::string operator()(const manager::LinkUp& e) const { return line("up", e.link); }
-  std::string operator()(const manager::LinkEnded& e) const { return line("down", e.link, e.local); }
-  std::string operator()(const manager::Answered& e) const {
-    return line("answer", e.link, describe_answer(e.answer));
+  std::string operator()(const dispatch::SessionClosed& e) const { return line("session-end", e.session); }
+  std::string operator()(const dispatch::SessionStalled& e) const { return line("stalled", e.session); }
+  std::string operator()(const dispatch::EngineConnected& e) const { return line("up", e.connection); }
+  std::string operator()(const dispatch::EngineDisconnected& e) const {
+    return line("down", e.connection, e.local_fault);
+  }
+  std::string operator()(const dispatch::ResponseReceived& e) const {
+    return line("answer", e.connection, describe_answer(e.response));
+  }
+  std::string operator()(const dispatch::EngineListChanged& e) const {
+    return line("list", describe_list(e.event));
+  }
+  std::string operator()(const dispatch::BeginShutdown& e) const {
+    return line("leave", e.has_successor, exact(e.max_duration));
   }
-  std::string operator()(const manager::ListChanged& e) const { return line("list", describe_list(e.event)); }
-  std::string operator()(const manager::Leave& e) const { return line("leave", e.successor, exact(e.most)); }
-  std::string operator()(const manager::Evacuate&) const { return "evacuate"; }
-  std::string operator()(const manager::Activate&) const { return "activate"; }
+  std::string operator()(const dispatch::StartDraining&) const { return "evacuate"; }
+  std::string operator()(const dispatch::Resume&) const { return "activate"; }
 };
 
 std::string describe_key(const store::KeyValue& kv) {
--- a/src/standin/world.cpp
+++ b/src/standin/world.cpp
@@ -28,11 +28,11 @@
     e.uid = known.at(i).uid;
     engines_.push_back(std::move(e));
   }
-  manager::ClientPort& clients = *this;
-  manager::EnginePort& ports = *this;
-  manager::Log& log = *this;
+  dispatch::ClientPort& clients = *this;
+  dispatch::EnginePort& ports = *this;
+  dispatch::Log& log = *this;
   const auto from_unix = [](std::int64_t ms) { return Time(std::chrono::milliseconds(ms)); };
-  core_ = std::make_unique<manager::Manager>(config_, now_, from_unix, budget_, clients, ports, log);
+  core_ = std::make_unique<dispatch::Dispatcher>(config_, now_, from_unix, budget_, clients, ports, log);
   for (std::size_t i = 0; i < loads_.size(); ++i) later(start_ + loads_[i].from, [this, i] { arrivals(i); });
 }
 
@@ -47,7 +47,7 @@
   later(start_ + since_start, std::move(what));
 }
 
-void World::hear(manager::Event event) {
+void World::hear(dispatch::Event event) {
   if (now_ >= frozen_until_) {
     if (trace) trace(exact(now_) + ' ' + describe(event));
     return core_->handle(now_, std::move(event));
@@ -91,10 +91,10 @@
     for (const auto& ended : e.model->advance(now_)) {
       const auto it = e.runs.find(ended.id);
       if (it == e.runs.end()) continue;
-      const EngineAnswer answer = served_answer(*e.model, ended);
-      const manager::LinkId link = it->second;
+      const EngineResponse answer = served_answer(*e.model, ended);
+      const dispatch::EngineConnectionId link = it->second;
       e.runs.erase(it);
-      later(now_ + kWire, [this, link, answer] { hear(manager::Answered{link, answer}); });
+      later(now_ + kWire, [this, link, answer] { hear(dispatch::ResponseReceived{link, answer}); });
     }
   }
 }
@@ -124,10 +124,10 @@
   const Load& load = loads_[t.load];
   const std::uint64_t connection = load.new_connections ? ++last_id_ : t.client;
   auto& session = sessions_[{t.load, connection}];
-  if (session == manager::SessionId{} || !known_.count(session)) {
-    session = manager::SessionId{++last_session_};
+  if (session == dispatch::SessionId{} || !known_.count(session)) {
+    session = dispatch::SessionId{++last_session_};
     known_.insert(session);
-    hear(manager::SessionBegan{session, (std::uint64_t{t.load} << 32) + t.client});
+    hear(dispatch::SessionOpened{session, (std::uint64_t{t.load} << 32) + t.client});
   }
   ++service_[t.load].tries;
   if (t.at_hint) ++service_[t.load].hinted_back;
@@ -139,13 +139,13 @@
   t.id = id;
   const auto group = static_cast<std::uint32_t>(draw() * 8);
   asked_[id] = {t.load, t.work, group, now_, -1};
-  manager::Arrived a;
+  dispatch::RequestReceived a;
   a.session = session;
   a.call = t.call;
   a.request_id = id;
-  a.cls = lynxstand::ClassId{static_cast<std::uint32_t>(load.cls)};
-  a.tenant = lynxstand::TenantId{static_cast<std::uint32_t>(load.member)};
-  a.tables = lynxstand::TableGroupId{group};
+  a.query_class = policy::ClassId{static_cast<std::uint32_t>(load.cls)};
+  a.tenant = policy::TenantId{static_cast<std::uint32_t>(load.member)};
+  a.table_group = policy::TableGroupId{group};
   a.memory_mb = load.memory;
   double told = t.work * load.told_times;
   if (load.scatter > 0)  // Box-Muller
@@ -163,14 +163,14 @@
       ++service_[it->second.load].left;
       open_.erase(it);
       left_.insert(key);
-      hear(manager::GaveUp{key.first, key.second});
+      hear(dispatch::RequestCancelled{key.first, key.second});
     });
   }
   hear(std::move(a));
 }
 
 // A core that stood still has until a moment later.
-void World::check_answered(std::pair<manager::SessionId, manager::CallId> key) {
+void World::check_answered(std::pair<dispatch::SessionId, dispatch::CallId> key) {
   const auto it = open_.find(key);
   if (it == open_.end() || !it->second.open) return;
   if (now_ < frozen_until_ + kAnswerBy)
@@ -179,7 +179,7 @@
   open_.erase(it);
 }
 
-void World::answered(manager::SessionId session, manager::CallId call, const std::string& how,
+void World::answered(dispatch::SessionId session, dispatch::CallId call, const std::string& how,
                      Duration hint) {
   tell_trace(how, call, std::to_string(static_cast<std::uint64_t>(session)) + ' ' + exact(hint));
   if (record)
@@ -226,44 +226,44 @@
   later(now_ + wait, [this, next] { send_try(next); });
 }
 
-void World::serve(manager::SessionId s, manager::CallId c, manager::Result) {
+void World::send_result(dispatch::SessionId s, dispatch::CallId c, dispatch::Result) {
   later(now_, [this, s, c] { answered(s, c, "served", {}); });
 }
-void World::refuse(manager::SessionId s, manager::CallId c, Duration hint) {
+void World::send_rejection(dispatch::SessionId s, dispatch::CallId c, Duration hint) {
   later(now_, [this, s, c, hint] { answered(s, c, "refused", hint); });
 }
-void World::fail(manager::SessionId s, manager::CallId c, std::string_view) {
+void World::send_failure(dispatch::SessionId s, dispatch::CallId c, std::string_view) {
   later(now_, [this, s, c] { answered(s, c, "failed", {}); });
 }
-void World::quoted(manager::SessionId s, manager::CallId c, const queues::Quote& quote) {
+void World::attach_quote(dispatch::SessionId s, dispatch::CallId c, const queues::Quote& quote) {
   const auto it = open_.find({s, c});
   tell_trace("quoted", c, exact(quote.wait));
   if (it != open_.end()) asked_.at(it->second.id).quoted = seconds_of(quote.wait);
 }
-void World::close(manager::SessionId session) {
+void World::close(dispatch::SessionId session) {
   later(now_, [this, session] {
-    if (known_.erase(session) > 0) hear(manager::SessionEnded{session});
+    if (known_.erase(session) > 0) hear(dispatch::SessionClosed{session});
   });
 }
 
 // ---- engines
 
-void World::open(manager::LinkId link, const config::Endpoint& endpoint, Time) {
+void World::connect(dispatch::EngineConnectionId link, const config::Endpoint& endpoint, Time) {
   for (std::size_t i = 0; i < engines_.size(); ++i) {
     if (engines_[i].endpoint == endpoint) links_[link] = i;
   }
   later(now_ + kWire, [this, link] {
     const auto it = links_.find(link);
     if (it == links_.end()) return;
-    if (engines_[it->second].up) return hear(manager::LinkUp{link});
+    if (engines_[it->second].up) return hear(dispatch::EngineConnected{link});
     links_.erase(it);
-    hear(manager::LinkEnded{link, "refused"});
+    hear(dispatch::EngineDisconnected{link, "refused"});
   });
 }
 
-void World::send(manager::LinkId link, manager::SendTag, EngineRequest request) {
+void World::send(dispatch::EngineConnectionId link, dispatch::AttemptTag, EngineRequest request) {
   tell_trace("send", static_cast<std::uint64_t>(link),
-             request.id + ' ' + std::to_string(request.band) + ' ' + exact(request.deadline));
+             request.id + ' ' + std::to_string(request.priority) + ' ' + exact(request.deadline));
   if (record) actions.push_back("send " + request.id);
   Asked& asked = asked_.at(request.id);
   if (asked.quoted >= 0) {
@@ -286,40 +286,40 @@
     query.load = loads_[load].cls == kLoad;
     query.threads = kThreadsOf[loads_[load].cls];
     query.memory = loads_[load].memory;
-    query.band = request.band;
+    query.band = request.priority;
     if (e.model->start(now_, query)) {
       e.runs[request.id] = link;
       note_later(link, request.id);
       return;
     }
     --ran_[request.id];
-    EngineAnswer full;
+    EngineResponse full;
     full.id = request.id;
-    full.word = AnswerWord::overload;
-    later(now_ + kWire, [this, link, full] { hear(manager::Answered{link, full}); });
+    full.type = ResponseType::overloaded;
+    later(now_ + kWire, [this, link, full] { hear(dispatch::ResponseReceived{link, full}); });
   });
 }
 
 // While it runs an engine tells of its progress, as the pool's settings say.
-void World::note_later(manager::LinkId link, const std::string& id) {
-  if (config_.settings.note_every <= Duration{}) return;
-  later(now_ + config_.settings.note_every, [this, link, id] {
+void World::note_later(dispatch::EngineConnectionId link, const std::string& id) {
+  if (config_.settings.progress_interval <= Duration{}) return;
+  later(now_ + config_.settings.progress_interval, [this, link, id] {
     const auto it = links_.find(link);
     if (it == links_.end()) return;
     const Engine& e = engines_[it->second];
     const auto run = e.runs.find(id);
     if (run == e.runs.end() || run->second != link) return;
-    EngineAnswer note;
+    EngineResponse note;
     note.id = id;
-    note.word = AnswerWord::update;
-    note.remark = Remark::progress;
-    note.datum = e.model->progress(id);
-    hear(manager::Answered{link, note});
+    note.type = ResponseType::progress;
+    note.progress = ProgressType::progress;
+    note.progress_value = e.model->progress(id);
+    hear(dispatch::ResponseReceived{link, note});
     note_later(link, id);
   });
 }
 
-void World::stop(manager::LinkId link, std::string_view id) {
+void World::cancel(dispatch::EngineConnectionId link, std::string_view id) {
   tell_trace("stop", static_cast<std::uint64_t>(link), id);
   if (record) actions.push_back("stop " + std::string(id));
   later(now_ + kWire, [this, link, id = std::string(id)] {
@@ -330,23 +330,23 @@
   });
 }
 
-void World::hello(manager::LinkId link, std::string_view tag) {
-  EngineAnswer green;
+void World::ping(dispatch::EngineConnectionId link, std::string_view tag) {
+  EngineResponse green;
   green.id = std::string(tag);
-  green.word = AnswerWord::green;
+  green.type = ResponseType::pong;
   later(now_ + kWire + kWire, [this, link, green] {
     const auto it = links_.find(link);
-    if (it != links_.end() && engines_[it->second].up) hear(manager::Answered{link, green});
+    if (it != links_.end() && engines_[it->second].up) hear(dispatch::ResponseReceived{link, green});
   });
 }
 
-void World::nice(manager::LinkId link, std::string_view id, std::uint32_t band) {
+void World::set_priority(dispatch::EngineConnectionId link, std::string_view id, std::uint32_t band) {
   tell_trace("nice", static_cast<std::uint64_t>(link), std::string(id) + ' ' + std::to_string(band));
   const auto it = links_.find(link);
   if (it != links_.end()) engines_[it->second].model->nice(now_, std::string(id), band);
 }
 
-void World::close(manager::LinkId link) {
+void World::close(dispatch::EngineConnectionId link) {
   tell_trace("close", static_cast<std::uint64_t>(link), "");
   const auto it = links_.find(link);
   if (it == links_.end()) return;
@@ -362,7 +362,7 @@
 void World::list_engine(std::size_t engine, const char* state, bool cold) {
   const std::int64_t boot =
       cold ? std::chrono::duration_cast<std::chrono::milliseconds>(now_.time_since_epoch()).count() : 0;
-  hear(manager::ListChanged{
+  hear(dispatch::EngineListChanged{
       config::decode_members(member_event(2, engines_[engine].uid, engines_[engine].endpoint, state, boot))});
 }
 
@@ -372,13 +372,13 @@
   e.up = false;
   e.model->die(now_);
   e.runs.clear();
-  std::vector<manager::LinkId> lost;
+  std::vector<dispatch::EngineConnectionId> lost;
   for (const auto& [link, at] : links_) {
     if (at == engine) lost.push_back(link);
   }
   for (const auto link : lost) {
     links_.erase(link);
-    hear(manager::LinkEnded{link, "reset"});
+    hear(dispatch::EngineDisconnected{link, "reset"});
   }
   later(now_ + std::chrono::seconds(2), [this, engine] {
     if (!engines_[engine].up) list_engine(engine, "removed", false);
--- a/src/standin/world.h
+++ b/src/standin/world.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "config/config.h"
-#include "manager/manager.h"
+#include "dispatch/dispatcher.h"
 #include "standin/draw.h"
 #include "standin/engine_model.h"
 #include "standin/schedule.h"
@@ -61,7 +61,7 @@
   return asked == 0 ? 1 : static_cast<double>(lookups.in_time + 8 * reports.in_time) / asked;
 }
 
-class World : manager::ClientPort, manager::EnginePort, manager::Log {
+class World : dispatch::ClientPort, dispatch::EnginePort, dispatch::Log {
  public:
   World(const config::Config& config, std::vector<EngineSettings> engines, std::vector<Load> loads,
         std::uint64_t seed);
@@ -77,10 +77,10 @@
   void freeze(Duration how_long);  // the core stands still, and hears all afterwards
   void configure(const door::Settings& door) { core_->configure(now_, door); }
   void configure(const queues::Settings& queues) { core_->configure(now_, queues); }
-  void leave() { hear(manager::Leave{}); }
+  void leave() { hear(dispatch::BeginShutdown{}); }
 
   const std::vector<Service>& service() const { return service_; }
-  const manager::Manager& core() const { return *core_; }
+  const dispatch::Dispatcher& core() const { return *core_; }
   Time start() const { return start_; }
   Time now() const { return now_; }
   std::vector<std::string> actions;  // what left the core, where `record` is set
@@ -96,15 +96,15 @@
     Time first{}, sent{};
     bool at_hint = false, open = true;
     std::string id;
-    manager::SessionId session{};
-    manager::CallId call = 0;
+    dispatch::SessionId session{};
+    dispatch::CallId call = 0;
   };
   struct Engine {
     std::unique_ptr<EngineModel> model;
     config::Endpoint endpoint;
     std::string uid;
     bool up = true;
-    std::map<std::string, manager::LinkId> runs;
+    std::map<std::string, dispatch::EngineConnectionId> runs;
   };
   struct Asked {  // by request id
     std::size_t load = 0;
@@ -113,57 +113,57 @@
     Time sent{};
     double quoted = -1;  // none, or done with
   };
-  void hear(manager::Event event);
+  void hear(dispatch::Event event);
   void tell_trace(std::string_view what, std::uint64_t of, std::string_view rest) const;
   void later(Time time, std::function<void()> what);
   void arrivals(std::size_t load);
   void send_try(Try t);
-  void answered(manager::SessionId session, manager::CallId call, const std::string& how, Duration hint);
+  void answered(dispatch::SessionId session, dispatch::CallId call, const std::string& how, Duration hint);
   void again(const Try& t, Duration hint);
   void move_engines();
-  void note_later(manager::LinkId link, const std::string& id);
+  void note_later(dispatch::EngineConnectionId link, const std::string& id);
   void list_engine(std::size_t engine, const char* state, bool cold);
   double draw() { return standin::draw(random_); }
   double draw_work(double mean);
 
-  void serve(manager::SessionId, manager::CallId, manager::Result) override;
-  void refuse(manager::SessionId, manager::CallId, Duration) override;
-  void fail(manager::SessionId, manager::CallId, std::string_view) override;
-  void quoted(manager::SessionId, manager::CallId, const queues::Quote&) override;
-  void answer_probe(manager::SessionId, manager::CallId, bool) override {}
-  void close(manager::SessionId session) override;
-  bool close_idle(manager::SessionId session) override { return close(session), true; }
-  void open(manager::LinkId link, const config::Endpoint& endpoint, Time deadline) override;
-  void send(manager::LinkId link, manager::SendTag tag, EngineRequest request) override;
-  bool withdraw(manager::LinkId, manager::SendTag) override { return false; }
-  void stop(manager::LinkId link, std::string_view id) override;
-  void hello(manager::LinkId link, std::string_view tag) override;
-  void nice(manager::LinkId link, std::string_view id, std::uint32_t band) override;
-  void fetch(manager::LinkId, std::string_view, std::uint32_t) override {}
-  void end(manager::LinkId, std::string_view) override {}
-  void close(manager::LinkId link) override;
-  void note(std::string_view) override {}
+  void send_result(dispatch::SessionId, dispatch::CallId, dispatch::Result) override;
+  void send_rejection(dispatch::SessionId, dispatch::CallId, Duration) override;
+  void send_failure(dispatch::SessionId, dispatch::CallId, std::string_view) override;
+  void attach_quote(dispatch::SessionId, dispatch::CallId, const queues::Quote&) override;
+  void send_readiness(dispatch::SessionId, dispatch::CallId, bool) override {}
+  void close(dispatch::SessionId session) override;
+  bool close_if_idle(dispatch::SessionId session) override { return close(session), true; }
+  void connect(dispatch::EngineConnectionId link, const config::Endpoint& endpoint, Time deadline) override;
+  void send(dispatch::EngineConnectionId link, dispatch::AttemptTag tag, EngineRequest request) override;
+  bool withdraw(dispatch::EngineConnectionId, dispatch::AttemptTag) override { return false; }
+  void cancel(dispatch::EngineConnectionId link, std::string_view id) override;
+  void ping(dispatch::EngineConnectionId link, std::string_view tag) override;
+  void set_priority(dispatch::EngineConnectionId link, std::string_view id, std::uint32_t band) override;
+  void fetch_page(dispatch::EngineConnectionId, std::string_view, std::uint32_t) override {}
+  void release_result(dispatch::EngineConnectionId, std::string_view) override {}
+  void close(dispatch::EngineConnectionId link) override;
+  void write(std::string_view) override {}
 
   const config::Config config_;
   Time start_{Duration(std::chrono::seconds(1000))}, now_ = start_;
   std::vector<Load> loads_;
   std::vector<Service> service_;
   std::vector<Engine> engines_;
-  std::map<manager::LinkId, std::size_t> links_;
+  std::map<dispatch::EngineConnectionId, std::size_t> links_;
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
   std::uint64_t order_ = 0, random_, last_id_ = 0, last_session_ = 0;
-  std::map<std::pair<std::size_t, std::uint64_t>, manager::SessionId> sessions_;  // by load and client
-  std::set<manager::SessionId> known_;
-  std::map<std::pair<manager::SessionId, manager::CallId>, Try> open_;
-  std::map<manager::SessionId, manager::CallId> calls_;
+  std::map<std::pair<std::size_t, std::uint64_t>, dispatch::SessionId> sessions_;  // by load and client
+  std::set<dispatch::SessionId> known_;
+  std::map<std::pair<dispatch::SessionId, dispatch::CallId>, Try> open_;
+  std::map<dispatch::SessionId, dispatch::CallId> calls_;
   std::map<std::string, Asked> asked_;
   Time frozen_until_{};
-  std::set<std::pair<manager::SessionId, manager::CallId>>
+  std::set<std::pair<dispatch::SessionId, dispatch::CallId>>
       left_;  // gave up: an answer may still be on its way
-  void check_answered(std::pair<manager::SessionId, manager::CallId> key);
+  void check_answered(std::pair<dispatch::SessionId, dispatch::CallId> key);
   std::map<std::string, int> ran_;
-  manager::Budget budget_{64 << 20};
-  std::unique_ptr<manager::Manager> core_;  // last: it uses the rest
+  dispatch::Budget budget_{64 << 20};
+  std::unique_ptr<dispatch::Dispatcher> core_;  // last: it uses the rest
 };
 
 }  // namespace yokestream::standin
--- a/src/store/addresses.h
+++ b/src/store/addresses.h
@@ -12,12 +12,12 @@
 #include <vector>
 
 #include "config/members.h"
-#include "lynxstand/settings.h"
+#include "yokestream/policy/settings.h"
 
 namespace yokestream::store {
 
-using lynxstand::Duration;
-using lynxstand::Time;
+using policy::Duration;
+using policy::Time;
 
 class Addresses {
  public:
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -6,7 +6,7 @@
 
 #include "host.h"
 
-namespace lynxstand::wire {
+namespace yokestream::simulator_adapter {
 namespace {
 
 struct Result {
@@ -130,4 +130,4 @@
 }
 
 }  // namespace
-}  // namespace lynxstand::wire
+}  // namespace yokestream::simulator_adapter
--- a/tests/bench.h
+++ b/tests/bench.h
@@ -12,18 +12,18 @@
 #include <string>
 #include <vector>
 
-#include "lynxstand/admission.h"
+#include "yokestream/policy/admission_controller.h"
 
-namespace lynxstand::testing {
+namespace yokestream::policy::testing {
 
 using namespace std::chrono_literals;
 
 inline ClassSettings make_class(Duration aim = 1s, Duration deadline = 5s) {
   ClassSettings c;
   c.name = "class";
-  c.aim = aim;
+  c.latency_objective = aim;
   c.deadline = deadline;
-  c.repeat_window = 3s;
+  c.deduplication_window = 3s;
   return c;
 }
 
@@ -31,10 +31,10 @@
   Settings s;
   s.classes = std::move(classes);
   s.kinds = {{4, 0}};
-  s.most_attempts = 3;
+  s.max_attempts = 3;
   s.answer_slack = 20ms;
   s.drain_grace = 1s;
-  s.ask_within = 10s;
+  s.engine_list_request_deadline = 10s;
   return s;
 }
 
@@ -48,12 +48,12 @@
 class Front {
  public:
   explicit Front(const Settings& s, std::vector<EngineEntry> engines = {engine("a"), engine("b")},
-                 std::uint64_t seed = 7, const std::optional<Learnt>& known = std::nullopt)
+                 std::uint64_t seed = 7, const std::optional<LearnedState>& known = std::nullopt)
       : controller_(s, seed, now) {
     if (known) {
-      EXPECT_TRUE(controller_.take_over(*known, 0s));
+      EXPECT_TRUE(controller_.restore(*known, 0s));
     }
-    list(std::move(engines), ListKind::remembered);
+    list(std::move(engines), EngineListKind::cached);
   }
 
   AdmissionController& controller() { return controller_; }
@@ -65,26 +65,26 @@
         sends[send->query].push_back(send->engine.name);
         order.push_back(send->query);
       }
-      if (const auto* refuse = std::get_if<Refuse>(&a)) {
+      if (const auto* refuse = std::get_if<Reject>(&a)) {
         ++finals[refuse->query], ++refused[refuse->query];
-        advice = refuse->come_back_after;
+        advice = refuse->retry_after;
       }
       if (const auto* fail = std::get_if<Fail>(&a)) ++finals[fail->query], ++failed[fail->query];
       if (const auto* c = std::get_if<Cancel>(&a)) cancels.push_back(c->query);
-      if (const auto* w = std::get_if<WakeAfter>(&a)) wakes.emplace(now + w->after, w->token);
-      if (std::holds_alternative<FollowList>(a)) ++follows;
+      if (const auto* w = std::get_if<StartTimer>(&a)) wakes.emplace(now + w->delay, w->token);
+      if (std::holds_alternative<WatchEngineList>(a)) ++follows;
       if (const auto* p = std::get_if<Probe>(&a)) probes.push_back(p->engine.name);
     }
     return out;
   }
-  void list(std::vector<EngineEntry> engines, ListKind kind = ListKind::changes) {
+  void list(std::vector<EngineEntry> engines, EngineListKind kind = EngineListKind::delta) {
     feed(EngineList{kind, std::move(engines)});
   }
   QueryId arrive(std::uint64_t id, Duration left = 5s, Duration work = 100ms, std::uint32_t cls = 0,
                  std::optional<OrderKey> key = {}) {
     QueryArrived q;
     q.query = QueryId{id};
-    q.cls = ClassId{cls};
+    q.query_class = ClassId{cls};
     q.order_key = key;
     q.work = work;
     q.time_left = left;
@@ -93,9 +93,9 @@
   }
   void end(QueryId q, Outcome o, Duration took = 100ms) {
     const auto n = sends.at(q).size() - 1;
-    AttemptEnded e{q, AttemptNo{static_cast<std::uint32_t>(n)}, {sends.at(q).back()}, o, took, false, {}};
-    e.finished = o == Outcome::served;
-    if (e.finished) ++finals[q];
+    AttemptEnded e{q, AttemptNumber{static_cast<std::uint32_t>(n)}, {sends.at(q).back()}, o, took, false, {}};
+    e.query_finished = o == Outcome::served;
+    if (e.query_finished) ++finals[q];
     feed(e);
   }
   // Lets time pass, delivering every wake-up on the way.
@@ -105,7 +105,7 @@
       now = std::max(now, wakes.begin()->first);
       const auto token = wakes.begin()->second;
       wakes.erase(wakes.begin());
-      feed(Woken{token});
+      feed(TimerFired{token});
     }
     now = until;
   }
@@ -124,4 +124,4 @@
   AdmissionController controller_;
 };
 
-}  // namespace lynxstand::testing
+}  // namespace yokestream::policy::testing
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,16 +1,16 @@
-// A front that embeds the library: one engine, one query, served.
-#include <lynxstand/admission.h>
+// A program that embeds the library: one engine, one query, served.
+#include <yokestream/policy/admission_controller.h>
 
 #include <cstdio>
 #include <variant>
 
-using namespace lynxstand;
+using namespace yokestream::policy;
 using namespace std::chrono_literals;
 
 int main() {
   Settings settings;
   settings.classes.push_back({});
-  settings.classes[0].aim = 1s;
+  settings.classes[0].latency_objective = 1s;
   settings.classes[0].deadline = 5s;
   settings.kinds = {{4, 0}};
   Time now{};
--- a/tests/golden/module_stream.cpp
+++ b/tests/golden/module_stream.cpp
@@ -3,13 +3,13 @@
 #include <map>
 #include <random>
 
-#include "adapter/wire.h"
 #include "line_hash.h"
+#include "simulator_adapter/wire.h"
 
 namespace yokestream::golden {
 namespace {
 
-using namespace lynxstand;
+using namespace yokestream::policy;
 using std::chrono::milliseconds;
 
 constexpr int kEngines = 9;
@@ -21,7 +21,7 @@
       : random_(seed), settings_(make_settings()), controller_(settings_, seed, now_) {}
 
   Golden play(const std::string& name) {
-    list(ListKind::full);
+    list(EngineListKind::full);
     const Time end = now_ + kDay;
     while (now_ < end) {
       now_ += milliseconds(1 + below(30));
@@ -30,14 +30,14 @@
       arrive();
       disturb();
     }
-    hash_.add(std::to_string(controller_.avoided()));
+    hash_.add(std::to_string(controller_.unavailable_engines()));
     return hash_.result(name);
   }
 
  private:
   struct Out {
     Send send;
-    AttemptNo attempt{};
+    AttemptNumber attempt{};
     Time sent{};
   };
 
@@ -47,18 +47,18 @@
   ClassSettings make_class(std::size_t i) {
     ClassSettings c;
     c.name = "c" + std::to_string(i);
-    c.aim = milliseconds(300 + below(1500));
-    c.aim_stretch = 2;
+    c.latency_objective = milliseconds(300 + below(1500));
+    c.latency_objective_stretch = 2;
     c.deadline = milliseconds(2500 + below(4000));
-    c.worth = 1 + static_cast<double>(below(8));
-    c.repeatable = static_cast<Repeatable>(i % 3);
-    c.repeat_group = static_cast<RepeatGroup>(below(3));
-    c.repeat_window = milliseconds(500 + below(3000));
-    c.in_order = i == 3;
+    c.priority_weight = 1 + static_cast<double>(below(8));
+    c.idempotency = static_cast<Idempotency>(i % 3);
+    c.deduplication_scope = static_cast<DeduplicationScope>(below(3));
+    c.deduplication_window = milliseconds(500 + below(3000));
+    c.ordered = i == 3;
     c.threads = 1 + static_cast<double>(below(3));
-    c.loads_tables = i == 2;
-    c.waits_for_loads = chance(2);
-    if (chance(4)) c.only_zones = {ZoneId{0}};
+    c.locks_table_group = i == 2;
+    c.waits_for_table_group = chance(2);
+    if (chance(4)) c.allowed_zones = {ZoneId{0}};
     return c;
   }
   Settings make_settings() {
@@ -67,34 +67,35 @@
     s.kinds = {{4, 8000}, {8, 0}};
     s.tenants = {{0.7, 20}, {0.3, 4}};
     s.zones = 2;
-    s.fronts = chance(3) ? 1 : 6;
+    s.manager_count = chance(3) ? 1 : 6;
     s.may_cancel = !chance(4);
     s.may_probe = chance(2);
     s.may_message = chance(2);
-    s.may_advise_wait = true;
-    s.most_wait_advice = milliseconds(2000);
-    s.most_attempts = 4;
-    s.list_source = chance(2) ? ListSource::pushed : ListSource::on_request;
-    s.reports = ReportSource::answers;
-    s.report_fields = {ReportField::inflight, ReportField::queue, ReportField::cpu, ReportField::memory};
-    s.grants = chance(2);
-    s.priorities = chance(2);
-    s.most_grant = 0.5;
-    s.note_every = chance(2) ? Duration(milliseconds(400)) : Duration{};
-    s.tells_cost = chance(2);
-    s.over_share_worth = 0.2;
+    s.may_send_retry_after = true;
+    s.max_retry_after = milliseconds(2000);
+    s.max_attempts = 4;
+    s.engine_list_source = chance(2) ? EngineListSource::pushed : EngineListSource::on_request;
+    s.load_report_source = LoadReportSource::answers;
+    s.load_report_fields = {LoadReportField::inflight, LoadReportField::queue, LoadReportField::cpu,
+                            LoadReportField::memory};
+    s.memory_grants = chance(2);
+    s.query_priorities = chance(2);
+    s.max_memory_grant_ratio = 0.5;
+    s.progress_interval = chance(2) ? Duration(milliseconds(400)) : Duration{};
+    s.reports_cost = chance(2);
+    s.over_quota_weight_ratio = 0.2;
     s.answer_slack = milliseconds(20);
     s.drain_grace = milliseconds(250);
-    s.start_capacity = 0.3;
-    s.cold = std::chrono::seconds(6);
-    s.tip_multiple = 2.5;
-    s.tip_after = std::chrono::seconds(2);
-    s.ask_within = std::chrono::seconds(2);
+    s.slow_start_initial_ratio = 0.3;
+    s.slow_start_window = std::chrono::seconds(6);
+    s.cold_overload_multiple = 2.5;
+    s.cold_overload_window = std::chrono::seconds(2);
+    s.engine_list_request_deadline = std::chrono::seconds(2);
     s.order_pause = milliseconds(300);
-    s.extra_limited = chance(2);
-    s.extra_free = 4;
-    s.extra_ratio = 0.2;
-    s.extra_span = std::chrono::seconds(4);
+    s.retry_budget_enabled = chance(2);
+    s.retry_budget_min_retries = 4;
+    s.retry_budget_ratio = 0.2;
+    s.retry_budget_window = std::chrono::seconds(4);
     return s;
   }
 
@@ -103,17 +104,17 @@
     controller_.handle(now_, event, actions);
     for (const Action& action : actions) {
       std::string line;
-      wire::encode(action, 1, line);
+      simulator_adapter::encode(action, 1, line);
       hash_.add(std::to_string(now_.time_since_epoch().count()) + ' ' + line);
       act(action);
     }
   }
   void act(const Action& action) {
-    if (const auto* wake = std::get_if<WakeAfter>(&action)) wakes_.emplace(now_ + wake->after, wake->token);
+    if (const auto* wake = std::get_if<StartTimer>(&action)) wakes_.emplace(now_ + wake->delay, wake->token);
     if (const auto* probe = std::get_if<Probe>(&action))
       probes_.emplace(now_ + milliseconds(3), probe->engine);
     if (const auto* send = std::get_if<Send>(&action)) {
-      const AttemptNo attempt{attempts_[send->query]++};
+      const AttemptNumber attempt{attempts_[send->query]++};
       const auto length = milliseconds(chance(12) ? 3000 : 5 + below(700));
       out_.emplace(now_ + length, Out{*send, attempt, now_});
     }
@@ -132,7 +133,7 @@
     while (!wakes_.empty() && wakes_.begin()->first <= now_) {
       const std::uint64_t token = wakes_.begin()->second;
       wakes_.erase(wakes_.begin());
-      feed(Woken{token});
+      feed(TimerFired{token});
     }
     while (!probes_.empty() && probes_.begin()->first <= now_) {
       const EngineId engine = probes_.begin()->second;
@@ -156,9 +157,9 @@
   }
   void end(const Out& out, Outcome outcome) {
     AttemptEnded ended{out.send.query, out.attempt, out.send.engine, outcome, now_ - out.sent, false, {}};
-    ended.finished = outcome == Outcome::served;
-    if (chance(2)) ended.report = report();
-    if (ended.finished && settings_.tells_cost) {
+    ended.query_finished = outcome == Outcome::served;
+    if (chance(2)) ended.load_report = report();
+    if (ended.query_finished && settings_.reports_cost) {
       ended.work = milliseconds(20 + below(800));
       ended.memory_mb = 64;
     }
@@ -173,32 +174,33 @@
     QueryArrived query;
     query.query = QueryId{++last_query_};
     const auto cls = static_cast<std::uint32_t>(below(4));
-    query.cls = ClassId{cls};
+    query.query_class = ClassId{cls};
     query.tenant = TenantId{static_cast<std::uint32_t>(below(2))};
-    query.tables = TableGroupId{below(5)};
+    query.table_group = TableGroupId{below(5)};
     if (cls == 3) query.order_key = OrderKey{below(4)};
     if (!chance(5)) query.memory_mb = static_cast<double>(32 + below(900));
     if (!chance(5)) query.work = milliseconds(10 + below(900));
     query.time_left = settings_.classes[cls].deadline - milliseconds(chance(4) ? below(900) : 0);
-    query.repeat = chance(8);
-    if (chance(10)) query.eligible = EngineSet(0x1f);
+    query.is_retry = chance(8);
+    if (chance(10)) query.eligible_engines = EngineSet(0x1f);
     feed(query);
   }
   // What happens beside arrivals and ends.
   void disturb() {
-    if (chance(20)) feed(ClientLeft{QueryId{1 + below(last_query_)}});
-    if (chance(25)) feed(EligibleNow{QueryId{1 + below(last_query_)}, EngineSet(chance(3) ? 0 : 0x3)});
-    if (chance(30)) list(chance(5) ? ListKind::full : ListKind::changes);
-    if (chance(60)) feed(EngineList{ListKind::failed, {}});
-    if (chance(40)) feed(PeerMessage{FrontId{static_cast<std::uint32_t>(below(6))}, payload()});
+    if (chance(20)) feed(ClientDisconnected{QueryId{1 + below(last_query_)}});
+    if (chance(25)) feed(EligibilityChanged{QueryId{1 + below(last_query_)}, EngineSet(chance(3) ? 0 : 0x3)});
+    if (chance(30)) list(chance(5) ? EngineListKind::full : EngineListKind::delta);
+    if (chance(60)) feed(EngineList{EngineListKind::failed, {}});
+    if (chance(40)) feed(PeerMessage{ManagerId{static_cast<std::uint32_t>(below(6))}, payload()});
     if (!out_.empty() && chance(3)) note(out_.begin()->second);
-    if (chance(700)) controller_.count_fronts(2 + static_cast<double>(below(8)));
+    if (chance(700)) controller_.set_manager_count(2 + static_cast<double>(below(8)));
     if (chance(300)) now_ += milliseconds(250);
   }
   void note(const Out& out) {
-    AttemptNote note{out.send.query, out.attempt, out.send.engine, static_cast<Note>(below(4)), 0};
-    note.value = note.note == Note::progress ? 0.01 + static_cast<double>(below(90)) / 100 : 8;
-    if (chance(12)) return feed(AnswerStarted{out.send.query, out.attempt, out.send.engine});
+    AttemptProgress note{out.send.query, out.attempt, out.send.engine, static_cast<ProgressKind>(below(4)),
+                         0};
+    note.value = note.kind == ProgressKind::progress ? 0.01 + static_cast<double>(below(90)) / 100 : 8;
+    if (chance(12)) return feed(ResponseStarted{out.send.query, out.attempt, out.send.engine});
     feed(note);
   }
   std::string payload() {
@@ -206,10 +208,10 @@
     for (std::uint64_t i = 4 + below(4); i > 0; --i) bytes += static_cast<char>(below(5));
     return bytes;
   }
-  void list(ListKind kind) {
+  void list(EngineListKind kind) {
     EngineList list{kind, {}};
     for (int i = 0; i < kEngines; ++i) {
-      if (kind == ListKind::changes && !chance(3)) continue;
+      if (kind == EngineListKind::delta && !chance(3)) continue;
       EngineEntry entry;
       entry.engine.name = "e" + std::to_string(i);
       entry.zone = ZoneId{static_cast<std::uint32_t>(i % 2)};
@@ -218,7 +220,7 @@
       entry.slot = static_cast<std::uint32_t>(i);
       entry.state = chance(7) ? EngineState::draining : chance(9) ? EngineState::gone : EngineState::up;
       if (chance(6)) starts_[i] = now_;
-      if (starts_.count(i)) entry.started = starts_[i];
+      if (starts_.count(i)) entry.start_time = starts_[i];
       list.entries.push_back(entry);
     }
     feed(list);
--- a/tests/golden/stored_bytes.cpp
+++ b/tests/golden/stored_bytes.cpp
@@ -3,24 +3,24 @@
 #include <iterator>
 
 #include "base/json.h"
-#include "duty/shares.h"
+#include "coordination/shares.h"
 #include "figures/figures.h"
-#include "learnt/codec.h"
 #include "line_hash.h"
 #include "migration/record.h"
 #include "protocol/management_call.h"
 #include "protocol/msgpack_rpc.h"
 #include "protocol/resp.h"
 #include "protocol/sse.h"
+#include "snapshot/learned_state_codec.h"
 #include "standin/trace.h"
 
 namespace yokestream::golden {
 namespace {
 
-using lynxstand::Duration;
-using lynxstand::Learnt;
-using lynxstand::Time;
-using lynxstand::Weights;
+using policy::Duration;
+using policy::InterferenceWeights;
+using policy::LearnedState;
+using policy::Time;
 using std::chrono::milliseconds;
 
 constexpr Time kStoredAt{std::chrono::seconds(5000)};
@@ -33,24 +33,26 @@
   return out;
 }
 
-Learnt learned_value() {
-  Learnt value;
+LearnedState learned_value() {
+  LearnedState value;
   value.pool = {1.5, 6.25, 0.125, 2, 3, 4, 1.5, 256, 8};
   value.classes.resize(2);
   value.classes[0] = {1.25, 0.5, 100, 0.25, 90, -0.5, 0.75, -1, 12, 1.5, 1.25};
   value.classes[1] = {2, 1, 3, 1.5, 2, 0.5, 1, 0.25, 0, 1, 1};
-  const Weights weights{{0.5, 0.25}, {0.125, 0}};
+  const InterferenceWeights weights{{0.5, 0.25}, {0.125, 0}};
   value.kinds = {weights, {{0, 0}, {0, 0}}};
   value.engines.push_back({{"engine-a"}, std::nullopt, {weights, {1, 2}, 0.25, 4, 0.125, false}});
   value.engines.push_back({{"engine-b"}, Time(milliseconds(1234)), {weights, {3, 4}, -0.5, 0, 0.5, true}});
   return value;
 }
 
-duty::Fact fact() {
+coordination::Fact fact() {
   return {"node-1", "0.1.0", 12.5, {{"shares", 7}, {"migration", 2}}, {{"south", {1, 2, 3}}}};
 }
 
-duty::Table table() { return {9, 41, {{"00000000000000a1", 500000000}, {"00000000000000a2", 250000000}}}; }
+coordination::Table table() {
+  return {9, 41, {{"00000000000000a1", 500000000}, {"00000000000000a2", 250000000}}};
+}
 
 migration::Record record() {
   migration::Plan plan;
@@ -99,9 +101,9 @@
 EngineRequest engine_request() {
   EngineRequest request;
   request.id = "00000000000000ff";
-  request.profile = "look";
+  request.query_class = "look";
   request.deadline = kStoredAt + milliseconds(1500);
-  request.band = 2;
+  request.priority = 2;
   request.statement = "select 1";
   return request;
 }
@@ -111,7 +113,9 @@
   reader.feed(bytes);
   std::string out;
   while (const auto answer = reader.next())
-    out += standin::describe(manager::Event(manager::Answered{manager::LinkId{1}, *answer})) + "; ";
+    out += standin::describe(
+               dispatch::Event(dispatch::ResponseReceived{dispatch::EngineConnectionId{1}, *answer})) +
+           "; ";
   return out;
 }
 
@@ -144,18 +148,18 @@
   operators.add(protocol::encode_subscription("127.0.0.1:80", "/feed", 12));
   operators.add(protocol::encode_failure("not ready yet"));
   operators.add(telemetry());
-  stored.add(learnt::encode(learned_value(), names(), kStoredAt));
-  stored.add(duty::encode(fact()));
-  stored.add(duty::encode(table()));
+  stored.add(snapshot::encode(learned_value(), names(), kStoredAt));
+  stored.add(coordination::encode(fact()));
+  stored.add(coordination::encode(table()));
   stored.add(migration::encode(record()));
   return {clients.result("wire-clients"), engines.result("wire-engines"), operators.result("wire-operators"),
           stored.result("stored")};
 }
 
 void write_stored(const std::string& folder) {
-  write_file(folder + kLearned, learnt::encode(learned_value(), names(), kStoredAt));
-  write_file(folder + kFact, duty::encode(fact()));
-  write_file(folder + kTable, duty::encode(table()));
+  write_file(folder + kLearned, snapshot::encode(learned_value(), names(), kStoredAt));
+  write_file(folder + kFact, coordination::encode(fact()));
+  write_file(folder + kTable, coordination::encode(table()));
   write_file(folder + kRecord, migration::encode(record()));
   write_file(folder + kTelemetry, telemetry());
 }
@@ -166,17 +170,17 @@
     if (!good) problems.push_back(std::string("not read as it was written: ") + (file + 1));
   };
   const auto bytes = read_file(folder + kLearned);
-  const auto learned = learnt::decode(bytes, names(), kStoredAt + kAge);
-  const auto* inherited = std::get_if<learnt::Inherited>(&learned);
-  need(inherited && inherited->age == kAge && inherited->learnt == learned_value() &&
-           learnt::encode(inherited->learnt, names(), kStoredAt) == bytes,
+  const auto learned = snapshot::decode(bytes, names(), kStoredAt + kAge);
+  const auto* inherited = std::get_if<snapshot::RestoredState>(&learned);
+  need(inherited && inherited->age == kAge && inherited->state == learned_value() &&
+           snapshot::encode(inherited->state, names(), kStoredAt) == bytes,
        kLearned);
   const auto fact_text = read_file(folder + kFact);
-  const auto old_fact = duty::decode_fact(fact_text);
-  need(old_fact && *old_fact == fact() && duty::encode(*old_fact) == fact_text, kFact);
+  const auto old_fact = coordination::decode_fact(fact_text);
+  need(old_fact && *old_fact == fact() && coordination::encode(*old_fact) == fact_text, kFact);
   const auto table_text = read_file(folder + kTable);
-  const auto old_table = duty::decode_table(table_text);
-  need(old_table && *old_table == table() && duty::encode(*old_table) == table_text, kTable);
+  const auto old_table = coordination::decode_table(table_text);
+  need(old_table && *old_table == table() && coordination::encode(*old_table) == table_text, kTable);
   const auto record_text = read_file(folder + kRecord);
   const auto old_record = migration::decode_record(record_text);
   need(old_record && *old_record == record() && migration::encode(*old_record) == record_text, kRecord);
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -3,7 +3,7 @@
 
 #include "bench.h"
 
-namespace lynxstand::testing {
+namespace yokestream::policy::testing {
 namespace {
 
 // An engine b that takes four times what is told, and one, a, that takes what is told.
@@ -23,17 +23,17 @@
 };
 
 TEST_F(Taught, TheValueIsTheSameOnceItIsTakenOver) {
-  const Learnt known = old.controller().learnt();
+  const LearnedState known = old.controller().learned_state();
   ASSERT_EQ(known.engines.size(), 2u);
-  EXPECT_NE(known.engines[1].learnt.weights, known.engines[0].learnt.weights);
-  ASSERT_TRUE(young.take_over(known, 0s));
+  EXPECT_NE(known.engines[1].learned.interference, known.engines[0].learned.interference);
+  ASSERT_TRUE(young.restore(known, 0s));
   std::vector<Action> out;
-  young.handle(old.now, EngineList{ListKind::remembered, {engine("a"), engine("b")}}, out);
-  EXPECT_EQ(young.learnt(), known);
+  young.handle(old.now, EngineList{EngineListKind::cached, {engine("a"), engine("b")}}, out);
+  EXPECT_EQ(young.learned_state(), known);
 }
 
 TEST_F(Taught, TheNewOneKnowsTheSlowEngineFromItsFirstQueryOn) {
-  Front cold(settings), warm(settings, {engine("a"), engine("b")}, 7, old.controller().learnt());
+  Front cold(settings), warm(settings, {engine("a"), engine("b")}, 7, old.controller().learned_state());
   const auto on_b = [](Front& f) {
     int count = 0;
     for (std::uint64_t id = 1; id <= 4; ++id) count += f.sends[f.arrive(id)].front() == "b";
@@ -44,65 +44,66 @@
 }
 
 TEST_F(Taught, AnEngineThatWasStartedSinceBeginsWithItsKind) {
-  Learnt known = old.controller().learnt();
+  LearnedState known = old.controller().learned_state();
   auto again = engine("b");
-  again.started = old.now;
-  ASSERT_TRUE(young.take_over(known, 0s));
+  again.start_time = old.now;
+  ASSERT_TRUE(young.restore(known, 0s));
   std::vector<Action> out;
-  young.handle(old.now, EngineList{ListKind::remembered, {engine("a"), again}}, out);
-  EXPECT_EQ(young.learnt().engines[1].learnt.weights, known.kinds[0]);
-  EXPECT_EQ(young.learnt().engines[0].learnt, known.engines[0].learnt);
+  young.handle(old.now, EngineList{EngineListKind::cached, {engine("a"), again}}, out);
+  EXPECT_EQ(young.learned_state().engines[1].learned.interference, known.kinds[0]);
+  EXPECT_EQ(young.learned_state().engines[0].learned, known.engines[0].learned);
 }
 
 TEST_F(Taught, AFailingEngineIsStillAvoidedForAWhile) {
-  Learnt known = old.controller().learnt();
-  known.engines[1].learnt.shunned = true, known.engines[1].learnt.failing = 0.9;
+  LearnedState known = old.controller().learned_state();
+  known.engines[1].learned.ejected = true, known.engines[1].learned.failure_ratio = 0.9;
   const auto avoided = [&](Duration age) {
     AdmissionController one(settings, 8, old.now);
-    EXPECT_TRUE(one.take_over(known, age));
+    EXPECT_TRUE(one.restore(known, age));
     std::vector<Action> out;
-    one.handle(old.now, EngineList{ListKind::remembered, {engine("a"), engine("b")}}, out);
-    return one.avoided();
+    one.handle(old.now, EngineList{EngineListKind::cached, {engine("a"), engine("b")}}, out);
+    return one.unavailable_engines();
   };
   EXPECT_EQ(avoided(1s), 1u);
   EXPECT_EQ(avoided(7s), 0u);
 }
 
 TEST_F(Taught, WhatDoesNotFitChangesNothing) {
-  const Learnt known = old.controller().learnt();
-  const Learnt own = young.learnt();
+  const LearnedState known = old.controller().learned_state();
+  const LearnedState own = young.learned_state();
   const auto refused = [&](auto spoil) {
-    Learnt bad = known;
+    LearnedState bad = known;
     spoil(bad);
-    EXPECT_FALSE(young.take_over(bad, 0s));
-    EXPECT_EQ(young.learnt(), own);
+    EXPECT_FALSE(young.restore(bad, 0s));
+    EXPECT_EQ(young.learned_state(), own);
   };
-  refused([](Learnt& l) { l.classes.pop_back(); });
-  refused([](Learnt& l) { l.kinds.clear(); });
-  refused([](Learnt& l) { l.kinds[0][1].pop_back(); });
-  refused([](Learnt& l) { l.classes[0].bias = 0; });
-  refused([](Learnt& l) { l.classes[1].level = std::nan(""); });
-  refused([](Learnt& l) { l.pool.all_seen = 0; });
-  refused([](Learnt& l) { l.engines[0].learnt.weights[0][0] = -1; });
-  refused([](Learnt& l) { l.engines[1].learnt.error = {1}; });
-  EXPECT_TRUE(young.take_over(known, 0s));
+  refused([](LearnedState& l) { l.classes.pop_back(); });
+  refused([](LearnedState& l) { l.kinds.clear(); });
+  refused([](LearnedState& l) { l.kinds[0][1].pop_back(); });
+  refused([](LearnedState& l) { l.classes[0].bias = 0; });
+  refused([](LearnedState& l) { l.classes[1].mean_log_slowdown = std::nan(""); });
+  refused([](LearnedState& l) { l.pool.observed_all_queries = 0; });
+  refused([](LearnedState& l) { l.engines[0].learned.interference[0][0] = -1; });
+  refused([](LearnedState& l) { l.engines[1].learned.mean_error = {1}; });
+  EXPECT_TRUE(young.restore(known, 0s));
   std::vector<Action> out;
-  young.handle(old.now, Woken{}, out);
-  EXPECT_FALSE(young.take_over(known, 0s));  // events have come
+  young.handle(old.now, TimerFired{}, out);
+  EXPECT_FALSE(young.restore(known, 0s));  // events have come
 }
 
 // Sends to an engine just started within the time that may topple it.
 int sends_to_cold(std::size_t processes) {
   Settings s = make_settings();
-  s.fronts = 4, s.cold = 10s, s.start_capacity = 0.3, s.tip_multiple = 3, s.tip_after = 2s;
+  s.manager_count = 4, s.slow_start_window = 10s, s.slow_start_initial_ratio = 0.3,
+  s.cold_overload_multiple = 3, s.cold_overload_window = 2s;
   auto fresh = engine("a");
   int sent = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     for (std::size_t p = 0; p < processes; ++p) {
       Front f(s, {}, 100 * seed + p);
-      f.controller().count_fronts(4.0 * static_cast<double>(processes));
-      fresh.started = f.now;
-      f.list({fresh}, ListKind::full);
+      f.controller().set_manager_count(4.0 * static_cast<double>(processes));
+      fresh.start_time = f.now;
+      f.list({fresh}, EngineListKind::full);
       std::size_t ended = 0;
       for (std::uint64_t id = 1; id <= 100; ++id) {
         f.arrive(id, 3s, 100ms);
@@ -123,4 +124,4 @@
 }
 
 }  // namespace
-}  // namespace lynxstand::testing
+}  // namespace yokestream::policy::testing
--- a/tests/node/config_test.cpp
+++ b/tests/node/config_test.cpp
@@ -15,8 +15,8 @@
 TEST_CASE("a good configuration is read, and nested settings mean what the wire's paths mean") {
   const auto config = config::decode_config(config_text());
   CHECK(config.seed == 0x2a);
-  CHECK((config.settings.classes[1].repeatable == lynxstand::Repeatable::never));
-  CHECK((config.settings.note_every == 2s));
+  CHECK((config.settings.classes[1].idempotency == policy::Idempotency::non_idempotent));
+  CHECK((config.settings.progress_interval == 2s));
   CHECK(config.real.streams_per_connection == 3);
   CHECK((config.real.report_fields == std::vector<std::string>{"queue", "inflight"}));
   CHECK(config.known[0].members[0].endpoint->port == 7001);
@@ -43,10 +43,10 @@
 
 TEST_CASE("an address belongs to who started last there, and a whole list ends what it does not name") {
   const auto config = config::decode_config(config_text());
-  manager::Directory directory(config.real, [](std::int64_t ms) { return Time(Duration(ms)); });
+  dispatch::EngineDirectory directory(config.real, [](std::int64_t ms) { return Time(Duration(ms)); });
   const Time now{1000s};
   directory.apply(now, config.known[0], true);
-  const auto up = [&](const std::string& uid) { return directory.usable(uid) != nullptr; };
+  const auto up = [&](const std::string& uid) { return directory.find_available(uid) != nullptr; };
   CHECK(up("e1"));
   const auto member = [](const std::string& uid, int boot) {
     return R"({"uid":")" + uid +
--- a/tests/node/dialing_test.cpp
+++ b/tests/node/dialing_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 struct Dialing : Fixture {
-  void no_link() { hear(manager::LinkEnded{only().link, "no port", true}); }
+  void no_link() { hear(dispatch::EngineDisconnected{only().link, "no port", true}); }
   long sends() const { return count("req 0000000000000001"); }
 };
 
@@ -20,7 +20,7 @@
   }
   CHECK(sends() == 11);
   CHECK(to(1).empty());
-  answer(written(), AnswerWord::served, 1, 0, "a\tb\tc\n");
+  answer(written(), ResponseType::result, 1, 0, "a\tb\tc\n");
   CHECK(to(1).back().kind == "served");
 }
 
@@ -34,13 +34,13 @@
   }
   REQUIRE_FALSE(to(1).empty());
   CHECK(to(1).back().kind == "refused");
-  CHECK(core.figures().text().find("engines_excluded:0") != std::string::npos);
+  CHECK(core.metrics().text().find("engines_excluded:0") != std::string::npos);
 }
 
 TEST_CASE_FIXTURE(Dialing, "who leaves, or runs out of time, while it is dialed again is sent to nobody") {
   arrive(1);
   no_link();
-  hear(manager::GaveUp{manager::SessionId{1}, 1});
+  hear(dispatch::RequestCancelled{dispatch::SessionId{1}, 1});
   pass(1s);
   CHECK(sends() == 1);
   CHECK(core.open_requests() == 0);
@@ -62,22 +62,22 @@
 TEST_CASE_FIXTURE(Dialing,
                   "what is held is not sent once its client has closed, though nobody has read that yet") {
   arrive(1);
-  answer(written(), AnswerWord::overload);  // it waits before it tries again
-  gone.insert(manager::SessionId{1});
+  answer(written(), ResponseType::overloaded);  // it waits before it tries again
+  gone.insert(dispatch::SessionId{1});
   pass(3s);
   CHECK(sends() == 1);
   CHECK(core.open_requests() == 0);
   CHECK(to(1).empty());
-  hear(manager::SessionEnded{manager::SessionId{1}});
+  hear(dispatch::SessionClosed{dispatch::SessionId{1}});
 }
 
 TEST_CASE_FIXTURE(Dialing, "a session of which nothing more is read is finished once it owes nothing") {
   arrive(1);
   const auto first = written();
-  hear(manager::SessionStalled{manager::SessionId{1}});
+  hear(dispatch::SessionStalled{dispatch::SessionId{1}});
   pass(300ms);
   CHECK(count("finish 1") == 0);
-  answer(first, AnswerWord::served, 1, 0, "a\tb\tc\n");
+  answer(first, ResponseType::result, 1, 0, "a\tb\tc\n");
   CHECK(to(1).back().kind == "served");
   pass(300ms);
   CHECK(count("finish 1") == 1);
--- a/tests/node/duty_random_test.cpp
+++ b/tests/node/duty_random_test.cpp
@@ -72,10 +72,10 @@
 
 TEST_CASE("the checker names the rule whose guard is left out") {
   CHECK(found_without(0) == "");
-  CHECK(found_without(duty::Settings::kTerm).rfind("S1", 0) == 0);
-  CHECK(found_without(duty::Settings::kAcknowledged).rfind("S3", 0) == 0);
-  CHECK(found_without(duty::Settings::kExpiry).rfind("sum", 0) == 0);
-  CHECK(found_without(duty::Settings::kFree).rfind("sum", 0) == 0);
+  CHECK(found_without(coordination::Settings::kTerm).rfind("S1", 0) == 0);
+  CHECK(found_without(coordination::Settings::kAcknowledged).rfind("S3", 0) == 0);
+  CHECK(found_without(coordination::Settings::kExpiry).rfind("sum", 0) == 0);
+  CHECK(found_without(coordination::Settings::kFree).rfind("sum", 0) == 0);
 }
 
 }  // namespace
--- a/tests/node/duty_search_test.cpp
+++ b/tests/node/duty_search_test.cpp
@@ -10,7 +10,7 @@
 namespace yokestream::test {
 namespace {
 
-using duty::Election;
+using coordination::Election;
 
 constexpr std::size_t kCandidates = 2;
 constexpr std::size_t kMostOnTheWay =
@@ -18,7 +18,7 @@
 constexpr store::Revision kMostRevision = 7;
 constexpr int kMostWrites = 1;  // that one candidate tries
 const Time kNow{1000s};
-const duty::Settings kSettings;
+const coordination::Settings kSettings;
 const std::string kLineOf = "d/line/", kBeat = "d/beat", kState = "d/state";
 
 struct Call {
--- a/tests/node/duty_test.cpp
+++ b/tests/node/duty_test.cpp
@@ -4,7 +4,7 @@
 namespace yokestream::test {
 namespace {
 
-using duty::Fleet;
+using coordination::Fleet;
 TEST_CASE("three processes have one owner, one table and parts by their traffic") {
   DutyWorld world(calm());
   world.at(5s, [&] { world.traffic(0, 60); });
@@ -83,7 +83,7 @@
     world.at(100s, [&] { CHECK(world.part(0) > 0.4); });
     for (int ms = 0; ms < 10000; ms += 20) {
       world.at(100s + Duration(1ms) * ms, [&] {
-        const auto alive = duty::Names("/yokestream").alive(world.fleet(0).session());
+        const auto alive = coordination::Names("/yokestream").alive(world.fleet(0).session());
         gone = gone || world.store().range({alive, {}, 0}).empty();
         if (gone) CHECK(world.part(0) <= 1.0 / 3 + 1e-9);
       });
--- a/tests/node/helper.h
+++ b/tests/node/helper.h
@@ -11,14 +11,14 @@
 #include <vector>
 
 #include "config/config.h"
-#include "manager/manager.h"
+#include "dispatch/dispatcher.h"
 #include "protocol/error.h"
 
 namespace yokestream::test {
 
 using namespace std::chrono_literals;
-using lynxstand::Duration;
-using lynxstand::Time;
+using policy::Duration;
+using policy::Time;
 
 class Steps {  // the same seed gives the same steps on every machine
  public:
@@ -63,10 +63,10 @@
 }
 
 // The core with everything round it recorded. The model beside it knows what is owed and what is out.
-struct Core : manager::ClientPort, manager::EnginePort, manager::Log {
+struct Core : dispatch::ClientPort, dispatch::EnginePort, dispatch::Log {
   enum class Sent { queued, written, stopped };
   struct Out {
-    manager::LinkId link{};
+    dispatch::EngineConnectionId link{};
     std::string id;
     Sent state = Sent::queued;
   };
@@ -80,113 +80,119 @@
         core(
             config, now, [](std::int64_t ms) { return Time(Duration(ms * 1000000)); }, budget, *this, *this,
             *this) {
-    hear(manager::SessionBegan{manager::SessionId{1}});
+    hear(dispatch::SessionOpened{dispatch::SessionId{1}});
   }
 
   config::Config config;
   Time now{Duration(1000s)};
-  manager::Budget budget{1 << 20};
-  std::map<std::pair<manager::SessionId, manager::CallId>, std::vector<Reply>> replies;
-  std::set<manager::SessionId> gone;  // have closed, and the core has not heard of it yet
-  std::set<manager::SessionId> busy;  // something has come from them that the core has not heard yet
-  std::set<manager::LinkId> links;
-  std::map<manager::LinkId, std::string> where;
-  std::map<manager::SendTag, Out> out;
+  dispatch::Budget budget{1 << 20};
+  std::map<std::pair<dispatch::SessionId, dispatch::CallId>, std::vector<Reply>> replies;
+  std::set<dispatch::SessionId> gone;  // have closed, and the core has not heard of it yet
+  std::set<dispatch::SessionId> busy;  // something has come from them that the core has not heard yet
+  std::set<dispatch::EngineConnectionId> links;
+  std::map<dispatch::EngineConnectionId, std::string> where;
+  std::map<dispatch::AttemptTag, Out> out;
   std::vector<std::string> said;  // in order: what went to engines
   std::vector<std::string> notes;
-  manager::Manager core;  // last: it uses the rest
+  dispatch::Dispatcher core;  // last: it uses the rest
 
-  void hear(manager::Event event) { core.handle(now, std::move(event)); }
+  void hear(dispatch::Event event) { core.handle(now, std::move(event)); }
   void pass(Duration time) {  // lets time pass, with every timer at its moment
     const Time until = now + time;
     while (core.next_due() <= until) now = std::max(now, core.next_due()), core.tick(now);
     now = until;
   }
-  void arrive(manager::CallId call, std::uint32_t cls = 0, Duration left = 4s, int session = 1,
+  void arrive(dispatch::CallId call, std::uint32_t cls = 0, Duration left = 4s, int session = 1,
               std::uint64_t area = 0) {
     char id[17];
     std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(call));
-    manager::Arrived a;
-    a.session = manager::SessionId(session), a.call = call, a.request_id = id,
-    a.cls = lynxstand::ClassId{cls};
+    dispatch::RequestReceived a;
+    a.session = dispatch::SessionId(session), a.call = call, a.request_id = id,
+    a.query_class = policy::ClassId{cls};
     a.work = Duration(10ms), a.deadline = now + left, a.statement = "select 1";
-    a.tables = lynxstand::TableGroupId{area};
+    a.table_group = policy::TableGroupId{area};
     hear(std::move(a));
   }
-  void answer(const Out& o, AnswerWord word, std::uint32_t pages = 1, std::uint32_t page = 0,
+  void answer(const Out& o, ResponseType word, std::uint32_t pages = 1, std::uint32_t page = 0,
               std::string body = "") {
-    EngineAnswer a;
-    a.id = o.id, a.word = word, a.pages = pages, a.page = page, a.body = std::move(body);
-    hear(manager::Answered{o.link, std::move(a)});
+    EngineResponse a;
+    a.id = o.id, a.type = word, a.page_count = pages, a.page_index = page, a.body = std::move(body);
+    hear(dispatch::ResponseReceived{o.link, std::move(a)});
   }
-  void confirm(manager::LinkId link, const std::string& tag) {
-    EngineAnswer a;
-    a.id = tag, a.word = AnswerWord::green;
-    hear(manager::Answered{link, a});
+  void confirm(dispatch::EngineConnectionId link, const std::string& tag) {
+    EngineResponse a;
+    a.id = tag, a.type = ResponseType::pong;
+    hear(dispatch::ResponseReceived{link, a});
   }
   void list(const std::string& members) {
-    hear(manager::ListChanged{
+    hear(dispatch::EngineListChanged{
         config::decode_members(R"({"n":2,"members":{"all":false,"targets":[)" + members + "]}}")});
   }
-  const std::vector<Reply>& to(manager::CallId call, int session = 1) {
-    return replies[{manager::SessionId(session), call}];
+  const std::vector<Reply>& to(dispatch::CallId call, int session = 1) {
+    return replies[{dispatch::SessionId(session), call}];
   }
   Out& only() { return out.rbegin()->second; }  // the attempt sent last
   Out written() {                               // the same, once its link is up and it has left
-    hear(manager::LinkUp{only().link});
+    hear(dispatch::EngineConnected{only().link});
     only().state = Sent::written;
     return only();
   }
 
-  void serve(manager::SessionId s, manager::CallId c, manager::Result r) override {
+  void send_result(dispatch::SessionId s, dispatch::CallId c, dispatch::Result r) override {
     replies[{s, c}].push_back({"served", r.rows, now});
   }
-  void refuse(manager::SessionId s, manager::CallId c, Duration) override {
+  void send_rejection(dispatch::SessionId s, dispatch::CallId c, Duration) override {
     replies[{s, c}].push_back({"refused", "", now});
   }
-  void fail(manager::SessionId s, manager::CallId c, std::string_view) override {
+  void send_failure(dispatch::SessionId s, dispatch::CallId c, std::string_view) override {
     replies[{s, c}].push_back({"failed", "", now});
   }
-  void answer_probe(manager::SessionId s, manager::CallId c, bool able) override {
+  void send_readiness(dispatch::SessionId s, dispatch::CallId c, bool able) override {
     replies[{s, c}].push_back({able ? "able" : "leaving", "", now});
   }
-  void close(manager::SessionId s) override {
+  void close(dispatch::SessionId s) override {
     said.push_back("close " + std::to_string(static_cast<int>(s)));
   }
-  bool close_idle(manager::SessionId s) override {
+  bool close_if_idle(dispatch::SessionId s) override {
     if (busy.count(s)) return false;
     close(s);
     return true;
   }
-  void finish(manager::SessionId s) override {
+  void close_after_responses(dispatch::SessionId s) override {
     said.push_back("finish " + std::to_string(static_cast<int>(s)));
   }
-  bool has_left(manager::SessionId s) override { return gone.count(s) > 0; }
-  void open(manager::LinkId link, const config::Endpoint& at, Time) override {
+  bool has_disconnected(dispatch::SessionId s) override { return gone.count(s) > 0; }
+  void connect(dispatch::EngineConnectionId link, const config::Endpoint& at, Time) override {
     links.insert(link), where[link] = to_string(at), said.push_back("open " + to_string(at));
   }
-  void send(manager::LinkId link, manager::SendTag tag, EngineRequest r) override {
+  void send(dispatch::EngineConnectionId link, dispatch::AttemptTag tag, EngineRequest r) override {
     out[tag] = {link, r.id, Sent::queued}, said.push_back("req " + r.id);
   }
-  bool withdraw(manager::LinkId, manager::SendTag tag) override {
+  bool withdraw(dispatch::EngineConnectionId, dispatch::AttemptTag tag) override {
     const auto it = out.find(tag);
     return it != out.end() && it->second.state == Sent::queued && out.erase(tag) > 0;
   }
-  void stop(manager::LinkId, std::string_view id) override { said.push_back("stop " + std::string(id)); }
-  void hello(manager::LinkId, std::string_view tag) override { said.push_back("hello " + std::string(tag)); }
-  void nice(manager::LinkId, std::string_view, std::uint32_t) override {}
-  void fetch(manager::LinkId, std::string_view, std::uint32_t page) override {
+  void cancel(dispatch::EngineConnectionId, std::string_view id) override {
+    said.push_back("stop " + std::string(id));
+  }
+  void ping(dispatch::EngineConnectionId, std::string_view tag) override {
+    said.push_back("hello " + std::string(tag));
+  }
+  void set_priority(dispatch::EngineConnectionId, std::string_view, std::uint32_t) override {}
+  void fetch_page(dispatch::EngineConnectionId, std::string_view, std::uint32_t page) override {
     said.push_back("fetch " + std::to_string(page));
   }
-  void end(manager::LinkId, std::string_view id) override { said.push_back("end " + std::string(id)); }
-  void close(manager::LinkId link) override {  // gives up all that is open on it
+  void release_result(dispatch::EngineConnectionId, std::string_view id) override {
+    said.push_back("end " + std::string(id));
+  }
+  void close(dispatch::EngineConnectionId link) override {  // gives up all that is open on it
     links.erase(link);
     for (const auto& [tag, o] : out) {
       if (o.link == link) said.push_back("given up " + o.id);
     }
     std::erase_if(out, [&](const auto& o) { return o.second.link == link; });
   }
-  void note(std::string_view line) override { notes.emplace_back(line); }
+  void write(std::string_view line) override { notes.emplace_back(line); }
 };
 
 }  // namespace yokestream::test
--- a/tests/node/manager_random_test.cpp
+++ b/tests/node/manager_random_test.cpp
@@ -14,9 +14,9 @@
   for (std::uint32_t seed = 1; seed <= 60; ++seed) {
     Steps steps(seed);
     Fixture f;
-    std::set<manager::CallId> given_up;
+    std::set<dispatch::CallId> given_up;
     std::map<std::string, int> attempts;  // out, by request
-    manager::CallId calls = 0;
+    dispatch::CallId calls = 0;
     std::size_t seen = 0;
     for (int i = 0; i < 300; ++i) {
       const auto step = steps.below(12);
@@ -25,24 +25,26 @@
       if (step == 4 && calls > 0) {
         const auto call = 1 + steps.below(calls);
         if (f.to(call).empty()) given_up.insert(call);
-        f.hear(manager::GaveUp{manager::SessionId{1}, call});
+        f.hear(dispatch::RequestCancelled{dispatch::SessionId{1}, call});
       }
       if (step > 4 && !f.out.empty()) {
         auto it = f.out.begin();
         std::advance(it, steps.below(f.out.size()));
         const Core::Out o = it->second;
         if (step == 5) {
-          f.hear(manager::LinkUp{o.link});
+          f.hear(dispatch::EngineConnected{o.link});
           it->second.state = Core::Sent::written;
         } else if (step == 6 && f.links.erase(o.link) > 0) {
           for (const auto& [tag, other] : f.out) {
             if (other.link == o.link) attempts[other.id] = 0;
           }
-          f.hear(manager::LinkEnded{o.link, "reset"});
+          f.hear(dispatch::EngineDisconnected{o.link, "reset"});
         } else if (o.state == Core::Sent::written) {
           f.out.erase(it);
           attempts[o.id] = 0;
-          f.answer(o, step < 9 ? AnswerWord::served : step == 9 ? AnswerWord::overload : AnswerWord::crashed);
+          f.answer(o, step < 9    ? ResponseType::result
+                      : step == 9 ? ResponseType::overloaded
+                                  : ResponseType::failed);
         }
       }
       for (; seen < f.said.size(); ++seen) {
@@ -51,11 +53,11 @@
       }
     }
     f.pass(10s);
-    for (manager::CallId call = 1; call <= calls; ++call) {
+    for (dispatch::CallId call = 1; call <= calls; ++call) {
       if (!given_up.count(call)) CHECK(f.to(call).size() == 1);
     }
     CHECK(f.core.open_requests() == 0);
-    CHECK(f.budget.used() == 0);
+    CHECK(f.budget.reserved() == 0);
   }
 }
 
@@ -71,7 +73,7 @@
       Time deadline{};
       bool left = false;
     };
-    std::map<manager::CallId, Owed> owed;
+    std::map<dispatch::CallId, Owed> owed;
     int sessions = 1, engines = 2;
     std::set<int> there = {1};
     const auto any = [&](const auto& of) {
@@ -81,18 +83,18 @@
     };
     const auto leave = [&](int session) {
       for (auto& [call, o] : owed) o.left |= o.session == session;
-      f.hear(manager::SessionEnded{manager::SessionId(session)});
+      f.hear(dispatch::SessionClosed{dispatch::SessionId(session)});
     };
     for (int i = 0; i < 400; ++i) {
       const auto step = steps.below(16);
-      if (step == 0) f.hear(manager::SessionBegan{manager::SessionId(*there.insert(++sessions).first)});
+      if (step == 0) f.hear(dispatch::SessionOpened{dispatch::SessionId(*there.insert(++sessions).first)});
       if (step == 1 && there.size() > 1) {
         const auto it = any(there);
         leave(*it);
         there.erase(it);
       }
       if (step >= 2 && step < 7) {
-        const auto call = static_cast<manager::CallId>(owed.size() + 1);
+        const auto call = static_cast<dispatch::CallId>(owed.size() + 1);
         const Duration left = (50 + steps.below(3900)) * 1ms;
         owed[call] = {*any(there), f.now + left, false};
         f.arrive(call, static_cast<std::uint32_t>(steps.below(2)), left, owed[call].session);
@@ -111,13 +113,13 @@
       if (step > 8 && !f.links.empty()) {
         const auto link = *any(f.links);
         if (step < 11) {
-          f.hear(manager::LinkUp{link});
+          f.hear(dispatch::EngineConnected{link});
           for (auto& [tag, o] : f.out) {
             if (o.link == link) o.state = Core::Sent::written;
           }
         } else if (step == 11) {
           f.links.erase(link);
-          f.hear(manager::LinkEnded{link, "reset"});
+          f.hear(dispatch::EngineDisconnected{link, "reset"});
         } else if (step == 12) {
           f.confirm(link, "alive");
         }
@@ -128,7 +130,7 @@
         if (o.state != Core::Sent::written) continue;
         const auto pages = static_cast<std::uint32_t>(1 + steps.below(2));
         if (pages == 1) f.out.erase(it);
-        f.answer(o, step < 15 ? AnswerWord::served : AnswerWord::crashed, pages, 0, "a\tb\tc\n");
+        f.answer(o, step < 15 ? ResponseType::result : ResponseType::failed, pages, 0, "a\tb\tc\n");
       }
     }
     f.pass(5s);
--- a/tests/node/manager_test.cpp
+++ b/tests/node/manager_test.cpp
@@ -10,22 +10,22 @@
 TEST_CASE_FIXTURE(Fixture, "a result of several pages is fetched, ended and passed on in order") {
   arrive(1);
   const Out o = written();
-  answer(o, AnswerWord::served, 3, 0, "a\t1\t\n");
+  answer(o, ResponseType::result, 3, 0, "a\t1\t\n");
   CHECK(count("fetch 1") + count("fetch 2") == 2);
-  answer(o, AnswerWord::rows, 1, 2, "c\t3\t\n");
+  answer(o, ResponseType::page, 1, 2, "c\t3\t\n");
   CHECK(to(1).empty());
-  answer(o, AnswerWord::rows, 1, 1, "b\t2\t\n");
+  answer(o, ResponseType::page, 1, 1, "b\t2\t\n");
   CHECK(said.back() == "end " + o.id);
   REQUIRE(to(1).size() == 1);
   CHECK(to(1)[0].rows == "a\t1\t\nb\t2\t\nc\t3\t\n");
-  CHECK(budget.used() == 0);
+  CHECK(budget.reserved() == 0);
 }
 
 TEST_CASE_FIXTURE(Fixture, "a lost page means that it may have run: what must not run twice fails") {
   arrive(1, 1);
   const Out o = written();
-  answer(o, AnswerWord::served, 2, 0, "a\tb\tc\n");
-  answer(o, AnswerWord::crashed);
+  answer(o, ResponseType::result, 2, 0, "a\tb\tc\n");
+  answer(o, ResponseType::failed);
   pass(1s);
   REQUIRE(to(1).size() == 1);
   CHECK(to(1)[0].kind == "failed");
@@ -40,17 +40,17 @@
   CHECK(count("stop " + o.id) == 1);
   REQUIRE(to(1).size() == 1);
   CHECK(to(1)[0].kind == "failed");
-  answer(o, AnswerWord::served, 1, 0, "late");
+  answer(o, ResponseType::result, 1, 0, "late");
   CHECK(to(1).size() == 1);
 }
 
 TEST_CASE_FIXTURE(Fixture, "a client that leaves is owed nothing, and what is out for it is stopped") {
   arrive(1);
   const Out first = written();
-  hear(manager::GaveUp{manager::SessionId{1}, 1});
+  hear(dispatch::RequestCancelled{dispatch::SessionId{1}, 1});
   arrive(2);
   const Out second = written();
-  hear(manager::SessionEnded{manager::SessionId{1}, "broken off here"});
+  hear(dispatch::SessionClosed{dispatch::SessionId{1}, "broken off here"});
   pass(5s);
   CHECK(count("stop " + first.id) == 1);
   CHECK(count("stop " + second.id) == 1);
@@ -71,11 +71,11 @@
 TEST_CASE_FIXTURE(Fixture,
                   "after a reset what must not run twice fails; after a refused connection it may go again") {
   arrive(1, 1);
-  hear(manager::LinkEnded{only().link, "refused"});
+  hear(dispatch::EngineDisconnected{only().link, "refused"});
   pass(1s);
   CHECK(count("req 0000000000000001") == 2);
   const Out o = written();
-  hear(manager::LinkEnded{o.link, "reset"});
+  hear(dispatch::EngineDisconnected{o.link, "reset"});
   pass(1s);
   CHECK(count("req 0000000000000001") == 2);
   REQUIRE(to(1).size() == 1);
@@ -85,47 +85,47 @@
 TEST_CASE_FIXTURE(Fixture, "told to leave, it still serves for a while and ends when nothing is owed") {
   arrive(1);
   const Out o = written();
-  hear(manager::Leave{});
-  hear(manager::ProbeAsked{manager::SessionId{1}, 9});
+  hear(dispatch::BeginShutdown{});
+  hear(dispatch::ProbeReceived{dispatch::SessionId{1}, 9});
   CHECK(to(9)[0].kind == "leaving");
   pass(800ms);
-  CHECK_FALSE(core.left(now));
-  answer(o, AnswerWord::served, 1, 0, "a\tb\tc\n");
-  CHECK_FALSE(core.left(now));  // its client may still ask on this connection
+  CHECK_FALSE(core.shutdown_complete(now));
+  answer(o, ResponseType::result, 1, 0, "a\tb\tc\n");
+  CHECK_FALSE(core.shutdown_complete(now));  // its client may still ask on this connection
   arrive(2);
   CHECK(to(2)[0].kind == "refused");
   pass(200ms);
   CHECK(count("close 1") == 1);
-  hear(manager::SessionEnded{manager::SessionId{1}});
+  hear(dispatch::SessionClosed{dispatch::SessionId{1}});
   pass(1500ms);
-  CHECK(core.left(now));
+  CHECK(core.shutdown_complete(now));
 }
 
 TEST_CASE_FIXTURE(Fixture,
                   "a flooding client is not closed while something of it is on the way, then it is") {
-  busy.insert(manager::SessionId(1));  // its next request is read, or waits in the inbox
-  for (manager::CallId call = 1; call <= 70; ++call) arrive(call, 0, 0s);  // each late: failed at once
+  busy.insert(dispatch::SessionId(1));  // its next request is read, or waits in the inbox
+  for (dispatch::CallId call = 1; call <= 70; ++call) arrive(call, 0, 0s);  // each late: failed at once
   CHECK(count("close 1") == 0);
   busy.clear();
   arrive(71, 0, 0s);
-  for (manager::CallId call = 1; call <= 71; ++call) CHECK(to(call).size() == 1);
+  for (dispatch::CallId call = 1; call <= 71; ++call) CHECK(to(call).size() == 1);
   CHECK(count("close 1") == 1);
 }
 
 TEST_CASE_FIXTURE(
     Fixture, "a client whose first request no engine can use is failed at once, without a second attempt") {
   arrive(1);
-  answer(written(), AnswerWord::crashed);
+  answer(written(), ResponseType::failed);
   REQUIRE(to(1).size() == 1);
   CHECK(to(1)[0].kind == "failed");
   arrive(2);
   CHECK(to(2)[0].kind == "failed");
   pass(1s);
   arrive(3);
-  answer(written(), AnswerWord::served, 1, 0, "a\tb\tc\n");
+  answer(written(), ResponseType::result, 1, 0, "a\tb\tc\n");
   CHECK(to(3)[0].kind == "served");
   arrive(4);
-  answer(written(), AnswerWord::crashed);
+  answer(written(), ResponseType::failed);
   pass(1s);
   CHECK(count("req 0000000000000001") == 1);
   CHECK(count("req 0000000000000004") == 2);
@@ -135,7 +135,7 @@
   arrive(1);
   arrive(1, 0, 4s, 1);
   CHECK(count("close 1") == 1);
-  hear(manager::SessionBegan{manager::SessionId{2}});
+  hear(dispatch::SessionOpened{dispatch::SessionId{2}});
   arrive(1, 0, 4s, 2);
   CHECK(to(1, 2)[0].kind == "failed");
 }
@@ -146,7 +146,7 @@
     Fixture f;
     f.arrive(1);
     const Out o = f.written();
-    f.answer(o, AnswerWord::served, 1, 0, rows);
+    f.answer(o, ResponseType::result, 1, 0, rows);
     CHECK(f.links.count(o.link) == 0);
     f.pass(100ms);
     CHECK(f.to(1).empty());
@@ -174,7 +174,7 @@
 
 TEST_CASE_FIXTURE(
     Fixture, "told to leave, whatever is open has its answer before the end, and may be asked elsewhere") {
-  hear(manager::Leave{});
+  hear(dispatch::BeginShutdown{});
   arrive(1);
   written();
   arrive(2, 1);
@@ -187,9 +187,9 @@
   CHECK(to(1)[0].kind == "refused");
   CHECK(to(2)[0].kind == "failed");
   CHECK(count("close 1") == 1);
-  hear(manager::SessionEnded{manager::SessionId{1}});
+  hear(dispatch::SessionClosed{dispatch::SessionId{1}});
   pass(1500ms);
-  CHECK(core.left(now));
+  CHECK(core.shutdown_complete(now));
 }
 
 }  // namespace
--- a/tests/node/migration_fixture.h
+++ b/tests/node/migration_fixture.h
@@ -7,12 +7,12 @@
 
 namespace yokestream::test {
 
-using lynxstand::TableGroupId;
 using migration::Mover;
 using migration::OnFail;
 using migration::Plan;
 using migration::Record;
 using migration::Running;
+using policy::TableGroupId;
 
 inline Plan a_plan(std::size_t areas, Duration hold = 2s) {
   Plan plan;
@@ -57,7 +57,7 @@
   }
   Plan plan;
   Mover mover;
-  duty::Looked looked{Time(1000s), {}, {}, 0};
+  coordination::Looked looked{Time(1000s), {}, {}, 0};
   std::string silent;
 };
 
--- a/tests/node/migration_test.cpp
+++ b/tests/node/migration_test.cpp
@@ -64,7 +64,7 @@
   for (int i = 0; i < 10; ++i) CHECK_FALSE(owner.look());
   CHECK(owner.look());
   CHECK(owner.steps() == std::vector<std::size_t>{2});
-  using Loads = routes::Rule::Loads;
+  using Loads = routing::Rule::Loads;
   std::vector<Loads> seen;
   for (int i = 0; i < 30 && owner.ended().empty(); ++i) {
     owner.look();
--- a/tests/node/net_client_test.cpp
+++ b/tests/node/net_client_test.cpp
@@ -24,7 +24,7 @@
     CHECK((session->look(net::now(), true) == net::Watched::Look::again));
     REQUIRE(reading.inbox.take_until(Time::max()).size() == 1);
     session->taken();
-    session->serve(static_cast<manager::CallId>(number), {"row" + std::to_string(number), {}});
+    session->serve(static_cast<dispatch::CallId>(number), {"row" + std::to_string(number), {}});
     CHECK(client.until("row" + std::to_string(number)));
   }
 }
@@ -49,7 +49,7 @@
   CHECK((session->look(session->due(), false) == net::Watched::Look::later));
   const auto told = reading.inbox.take_until(Time::max());
   REQUIRE(told.size() == 1);
-  CHECK(std::holds_alternative<manager::SessionStalled>(std::get<manager::Event>(told[0])));
+  CHECK(std::holds_alternative<dispatch::SessionStalled>(std::get<dispatch::Event>(told[0])));
   client.say(call(2, "0123456789abcde0", "select 2"));
   CHECK((session->look(session->due(), false) == net::Watched::Look::later));
   CHECK(reading.inbox.take_until(net::now()).empty());
@@ -71,8 +71,8 @@
     REQUIRE(::recv(pair.socket.descriptor(), &first, 1, MSG_PEEK) == 1);
     return session->look(net::now(), true);
   };
-  manager::Reservation rest;
-  REQUIRE(reading.budget.take(rest, (1 << 20) - 10));
+  dispatch::Reservation rest;
+  REQUIRE(reading.budget.try_reserve(rest, (1 << 20) - 10));
   const std::string bytes = call(1, "0123456789abcdef", "select 1");
   pair.peer.say(bytes.substr(0, 20));
   CHECK((read() == net::Watched::Look::later));
@@ -103,7 +103,7 @@
   Pair pair;
   const auto session = reading.session(Fd(::dup(pair.socket.descriptor())));
   short_of_all = 100;
-  for (manager::CallId call = 1; call <= 40; ++call)
+  for (dispatch::CallId call = 1; call <= 40; ++call)
     session->serve(call, {std::string(40'000, static_cast<char>('0' + call)), {}});
   short_of_all = 0;
   CHECK_FALSE(session->break_off_idle());
--- a/tests/node/net_crossing_test.cpp
+++ b/tests/node/net_crossing_test.cpp
@@ -49,7 +49,7 @@
   CHECK((session->look(net::now(), true) == net::Watched::Look::again));
   const auto told = reading.inbox.take_until(net::now());
   REQUIRE(told.size() == 1);
-  CHECK(std::get<manager::Arrived>(std::get<manager::Event>(told[0])).call == 2);
+  CHECK(std::get<dispatch::RequestReceived>(std::get<dispatch::Event>(told[0])).call == 2);
 }
 
 TEST_CASE_FIXTURE(HeldClient,
@@ -91,8 +91,8 @@
 
 // The time that a client has left ran while nobody read it.
 TEST_CASE_FIXTURE(HeldClient, "what came while a client was not read counts from when it was read last") {
-  manager::Reservation rest;
-  REQUIRE(reading.budget.take(rest, (1 << 20) - 10));
+  dispatch::Reservation rest;
+  REQUIRE(reading.budget.try_reserve(rest, (1 << 20) - 10));
   const std::string first = call(1, "0123456789abcde1", "select 1");
   client->say(first.substr(0, 40));
   wait_for_bytes(descriptor);
@@ -106,7 +106,7 @@
   const auto told = reading.inbox.take_until(net::now());
   REQUIRE(told.size() == 2);
   for (const auto& event : told)
-    CHECK((std::get<manager::Arrived>(std::get<manager::Event>(event)).deadline <= paused + 4s));
+    CHECK((std::get<dispatch::RequestReceived>(std::get<dispatch::Event>(event)).deadline <= paused + 4s));
 }
 
 TEST_CASE_FIXTURE(HeldClient, "a client that is read no more and reads nothing either goes in the end") {
@@ -114,7 +114,7 @@
   wait_for_bytes(descriptor);
   const Time stopped = net::now();
   CHECK((session->look(stopped, true) == net::Watched::Look::later));
-  for (manager::CallId call = 1; call <= 200; ++call) session->serve(call, {std::string(40'000, 'a'), {}});
+  for (dispatch::CallId call = 1; call <= 200; ++call) session->serve(call, {std::string(40'000, 'a'), {}});
   CHECK(
       (session->look(stopped + 10s, false) == net::Watched::Look::later));  // the core has not let it go yet
   session->finish();
--- a/tests/node/net_faults_test.cpp
+++ b/tests/node/net_faults_test.cpp
@@ -118,7 +118,7 @@
 // Another process served there, and this one took its clients before its yes.
 TEST_CASE_FIXTURE(Failing, "a wait that is interrupted is no opened gate: nobody is accepted before") {
   Reading reading(0);
-  manager::Budget slots(10);
+  dispatch::Budget slots(10);
   net::Gate gate;
   polls_interrupted = true;
   net::Listener listener(reading.config, gate, slots, reading.budget, reading.inbox, reading.readers,
@@ -137,7 +137,7 @@
 
 // ---- the file by which a process hands on what it has learnt
 
-struct HandingOver : Failing, config::RealSettings, manager::Log {
+struct HandingOver : Failing, config::RealSettings, dispatch::Log {
   HandingOver() {
     classes = {"look", "load"}, kinds = {"m"};
     REQUIRE(::mkdtemp(path.data()));
@@ -147,10 +147,10 @@
     size = std::filesystem::file_size(path + "/yokestream-learnt");
   }
   ~HandingOver() override { std::filesystem::remove_all(path); }
-  void note(std::string_view line) override { notes.emplace_back(line); }
-  static lynxstand::Learnt value(double n) {
-    lynxstand::Learnt l;
-    l.pool.own_seen = n, l.pool.all_seen = n, l.pool.mean_work = n;
+  void write(std::string_view line) override { notes.emplace_back(line); }
+  static policy::LearnedState value(double n) {
+    policy::LearnedState l;
+    l.pool.observed_own_queries = n, l.pool.observed_all_queries = n, l.pool.mean_work_s = n;
     l.classes.resize(2);
     l.kinds = {{{n, n}, {n, n}}};
     return l;
@@ -160,11 +160,11 @@
     net::HandOver out(path, 0, *this);
     out.write_now(value(n));
   }
-  std::optional<learnt::Inherited> read() { return net::HandOver::read(path, *this, *this); }
+  std::optional<snapshot::RestoredState> read() { return net::HandOver::read(path, *this, *this); }
   double held() {
     const auto got = read();
     REQUIRE(got.has_value());
-    return got->learnt.pool.mean_work;
+    return got->state.pool.mean_work_s;
   }
   std::string path = (std::filesystem::temp_directory_path() / "yokestream-XXXXXX").string();
   std::vector<std::string> notes;
--- a/tests/node/net_feed_test.cpp
+++ b/tests/node/net_feed_test.cpp
@@ -20,7 +20,8 @@
 }
 
 int number_of(const net::DriverEvent& event) {
-  return static_cast<int>(std::get<manager::ListChanged>(std::get<manager::Event>(event)).event.number);
+  return static_cast<int>(
+      std::get<dispatch::EngineListChanged>(std::get<dispatch::Event>(event)).event.number);
 }
 
 struct Following {
--- a/tests/node/net_peers.h
+++ b/tests/node/net_peers.h
@@ -50,9 +50,9 @@
 };
 
 // What the program notes, kept; a test may wait for a line.
-class Notes : public manager::Log {
+class Notes : public dispatch::Log {
  public:
-  void note(std::string_view line) override {
+  void write(std::string_view line) override {
     const std::lock_guard lock(mutex_);
     lines_.emplace_back(line);
     news_.notify_all();
--- a/tests/node/net_test.cpp
+++ b/tests/node/net_test.cpp
@@ -90,7 +90,7 @@
   const auto before = threads();
   std::vector<std::shared_ptr<net::EngineLink>> links;
   const auto open = [&](const config::Endpoint& at) {
-    const manager::LinkId id{static_cast<std::uint64_t>(links.size())};
+    const dispatch::EngineConnectionId id{static_cast<std::uint64_t>(links.size())};
     links.push_back(std::make_shared<net::EngineLink>(id, at, Time::max(), fields, inbox, writer, figures));
     dock.admit(links.back());
   };
@@ -109,9 +109,9 @@
   std::size_t up = 0, ended = 0;
   while (ended < links.size()) {
     for (const auto& event : inbox.take_until(Time::max())) {
-      const auto& told = std::get<manager::Event>(event);
-      up += std::holds_alternative<manager::LinkUp>(told);
-      ended += std::holds_alternative<manager::LinkEnded>(told);
+      const auto& told = std::get<dispatch::Event>(event);
+      up += std::holds_alternative<dispatch::EngineConnected>(told);
+      ended += std::holds_alternative<dispatch::EngineDisconnected>(told);
     }
   }
   CHECK(up == 40);
--- a/tests/node/protocol_test.cpp
+++ b/tests/node/protocol_test.cpp
@@ -86,12 +86,12 @@
     RespReader reader({"queue", "inflight"});
     const auto answers = read_split(reader, served + green + served, steps);
     REQUIRE(answers.size() == 3);
-    CHECK(answers[2].word == AnswerWord::served);
-    CHECK(answers[2].pages == 3);
-    CHECK(*answers[2].elapsed_ms == 12.5);
-    CHECK(answers[2].report == std::vector<double>{-1, 7});
+    CHECK(answers[2].type == ResponseType::result);
+    CHECK(answers[2].page_count == 3);
+    CHECK(*answers[2].work_ms == 12.5);
+    CHECK(answers[2].load_report == std::vector<double>{-1, 7});
     CHECK(answers[2].body == body);
-    CHECK(answers[1].word == AnswerWord::green);
+    CHECK(answers[1].type == ResponseType::pong);
   }
 }
 
@@ -102,9 +102,9 @@
       "0\r\n\r\n");
   const auto answer = reader.next();
   REQUIRE(answer.has_value());
-  CHECK_FALSE(answer->elapsed_ms.has_value());
-  CHECK(answer->rss_mb == 0);
-  CHECK(answer->report == std::vector<double>{-1, -1});
+  CHECK_FALSE(answer->work_ms.has_value());
+  CHECK(answer->memory_mb == 0);
+  CHECK(answer->load_report == std::vector<double>{-1, -1});
 }
 
 TEST_CASE("RESP: malformed answers are errors") {
--- a/tests/node/routing_test.cpp
+++ b/tests/node/routing_test.cpp
@@ -3,13 +3,13 @@
 #include <doctest/doctest.h>
 
 #include "helper.h"
-#include "routes/routes.h"
+#include "routing/routes.h"
 
 namespace yokestream::test {
 namespace {
 
-using lynxstand::TableGroupId;
-using routes::Rule;
+using policy::TableGroupId;
+using routing::Rule;
 
 constexpr std::uint64_t kArea = 17, kOther = 18;
 const char* const kOld = "127.0.0.1:7001";
@@ -22,8 +22,8 @@
   return config;
 }
 
-routes::Table table(std::int64_t epoch, std::uint32_t moved, Rule::Loads loads) {
-  routes::Table out;
+routing::Table table(std::int64_t epoch, std::uint32_t moved, Rule::Loads loads) {
+  routing::Table out;
   out.epoch = epoch;
   out.origins = {{{}, {}, {"e1", "e4"}, {}}, {{}, {}, {"e2", "e3"}, {}}};
   out.rules[TableGroupId{kArea}] = {0, 1, moved, loads};
@@ -38,17 +38,17 @@
   static std::string member(const std::string& uid, const std::string& at) {
     return R"({"uid":")" + uid + R"(","endpoint":")" + at + R"(","az":"z","model":"m","state":"up"})";
   }
-  routes::Table now_there = table(0, 0, Rule::Loads::from);
+  routing::Table now_there = table(0, 0, Rule::Loads::from);
   void route(std::int64_t epoch, std::uint32_t moved, Rule::Loads loads, Duration granted = 60s) {
     now_there = table(epoch, moved, loads);
     grant(granted);
   }
-  void grant(Duration granted) { core.route(now, now_there, now + granted); }
-  void look(manager::CallId call) { arrive(call, 0, 4s, 1, kArea); }
-  void load(manager::CallId call) { arrive(call, 1, 4s, 1, kArea); }
+  void grant(Duration granted) { core.apply_routes(now, now_there, now + granted); }
+  void look(dispatch::CallId call) { arrive(call, 0, 4s, 1, kArea); }
+  void load(dispatch::CallId call) { arrive(call, 1, 4s, 1, kArea); }
   std::string place() { return where[only().link]; }  // of the attempt sent last
   long count(const std::string& words) const { return std::count(said.begin(), said.end(), words); }
-  std::string told(manager::CallId call) { return to(call).empty() ? "nothing" : to(call)[0].kind; }
+  std::string told(dispatch::CallId call) { return to(call).empty() ? "nothing" : to(call)[0].kind; }
 };
 
 TEST_CASE_FIXTURE(Routed, "an area that a duty may touch is closed until a table has come; others are not") {
@@ -70,13 +70,13 @@
                   "a share of what may be repeated moves, by the request; loads stay where they are") {
   route(0, Rule::kAll / 4, Rule::Loads::from);
   int moved = 0;
-  for (manager::CallId call = 1; call <= 400; ++call) {
+  for (dispatch::CallId call = 1; call <= 400; ++call) {
     look(call);
     moved += place() == kNew;
-    answer(written(), AnswerWord::served);
+    answer(written(), ResponseType::result);
     load(1000 + call);
     CHECK(place() == kOld);
-    answer(written(), AnswerWord::served);
+    answer(written(), ResponseType::result);
   }
   CHECK(moved > 70);
   CHECK(moved < 130);
@@ -87,14 +87,14 @@
   look(1);
   CHECK(place() == kOld);
   list(member("e4", "127.0.0.1:7004"));  // on the old side, too
-  hear(manager::LinkEnded{only().link, "refused"});
+  hear(dispatch::EngineDisconnected{only().link, "refused"});
   pass(100ms);
   REQUIRE(out.size() == 1);
   CHECK(place() == "127.0.0.1:7004");
   route(1, Rule::kAll, Rule::Loads::from);  // queued still: it is taken back and goes to the other side
   CHECK(place() == kNew);
-  CHECK(core.keeps_to_routes());
-  answer(written(), AnswerWord::served);
+  CHECK(core.conforms_to_routes());
+  answer(written(), ResponseType::result);
   CHECK(told(1) == "served");
 }
 
@@ -104,14 +104,14 @@
   load(1);
   const Out first = written();
   route(1, Rule::kAll, Rule::Loads::nowhere);
-  CHECK_FALSE(core.keeps_to_routes());  // it is out on the old side
+  CHECK_FALSE(core.conforms_to_routes());  // it is out on the old side
   load(2);
   CHECK(told(2) == "refused");
   look(3);
   CHECK(place() == kNew);
-  answer(first, AnswerWord::served);
+  answer(first, ResponseType::result);
   CHECK(told(1) == "served");
-  CHECK(core.keeps_to_routes());
+  CHECK(core.conforms_to_routes());
   route(2, Rule::kAll, Rule::Loads::to);
   load(4);
   CHECK(place() == kNew);
@@ -123,9 +123,9 @@
   load(1);
   const Out first = written();
   route(1, 0, Rule::Loads::nowhere);
-  hear(manager::LinkEnded{first.link, "reset"});
+  hear(dispatch::EngineDisconnected{first.link, "reset"});
   CHECK(told(1) == "failed");  // it may have run
-  CHECK(core.keeps_to_routes());
+  CHECK(core.conforms_to_routes());
   route(2, 0, Rule::Loads::to);
   CHECK(count("req " + first.id) == 1);
 }
@@ -144,10 +144,10 @@
   CHECK(told(2) == "refused");
   CHECK(told(3) == "refused");
   CHECK(told(1) == "nothing");  // what is out goes on
-  CHECK_FALSE(core.keeps_to_routes());
-  answer(first, AnswerWord::served);
+  CHECK_FALSE(core.conforms_to_routes());
+  answer(first, ResponseType::result);
   CHECK(told(1) == "served");
-  CHECK(core.keeps_to_routes());
+  CHECK(core.conforms_to_routes());
 }
 
 TEST_CASE_FIXTURE(Routed,
@@ -158,30 +158,30 @@
   list(member("e3", "127.0.0.1:7003"));
   load(1);
   CHECK(place() == "127.0.0.1:7003");
-  answer(written(), AnswerWord::served);
+  answer(written(), ResponseType::result);
   pass(70s);  // e2 is forgotten, and its slot goes to another
   list(member("e8", "127.0.0.1:7008"));
   grant(60s);
-  for (manager::CallId call = 2; call < 10; ++call) {
+  for (dispatch::CallId call = 2; call < 10; ++call) {
     load(call);
     CHECK(place() == "127.0.0.1:7003");
-    answer(written(), AnswerWord::served);
+    answer(written(), ResponseType::result);
   }
 }
 
 TEST_CASE("more engines than there are slots: those beyond are in no origin, and are open to other areas") {
-  routes::Routes all;
+  routing::Routes all;
   all.expect({TableGroupId{kArea}});
-  routes::Table any = table(0, 0, Rule::Loads::from);
+  routing::Table any = table(0, 0, Rule::Loads::from);
   any.origins[0] = {};  // takes all
   all.swap(any);
   all.extend(Time::max());
   config::Member member;
-  for (std::size_t i = 0; i <= lynxstand::kMostSlots; ++i)
+  for (std::size_t i = 0; i <= policy::kMaxEngineSlots; ++i)
     member.uid = "e" + std::to_string(i), all.list(member);
   const auto route = all.find(Time{}, TableGroupId{kArea}, true, "x");
-  CHECK(route.among->count() == lynxstand::kMostSlots);
-  CHECK(all.slot(member.uid) == lynxstand::kMostSlots);
+  CHECK(route.among->count() == policy::kMaxEngineSlots);
+  CHECK(all.slot(member.uid) == policy::kMaxEngineSlots);
   CHECK_FALSE(all.find(Time{}, TableGroupId{kOther}, true, "x").among);
   all.keep([](const std::string& uid) { return uid != "e7"; });
   CHECK_FALSE((*all.find(Time{}, TableGroupId{kArea}, true, "x").among)[7]);
@@ -201,7 +201,7 @@
   CHECK(count("req " + first) == 1);
   pass(200ms);  // still queued at 1 s: taken back, and as it never ran a load may go again
   CHECK(count("req " + first) == 2);
-  answer(written(), AnswerWord::served);
+  answer(written(), ResponseType::result);
   REQUIRE(to(1).size() == 1);
   CHECK(to(1)[0].kind == "served");
 }
@@ -216,7 +216,7 @@
   load(2);
   CHECK(count("req " + first.id) == 1);
   CHECK(out.size() == 1);
-  answer(first, AnswerWord::served);
+  answer(first, ResponseType::result);
   REQUIRE(to(1).size() == 1);
   CHECK(to(1)[0].kind == "served");
 }
--- a/tests/node/service_test.cpp
+++ b/tests/node/service_test.cpp
@@ -1,16 +1,15 @@
 // The service states, drains and figures, on the core with fake ports and a fake clock; the operators' words.
-#include "manager/service.h"
-
 #include <doctest/doctest.h>
 
+#include "dispatch/service_lifecycle.h"
 #include "helper.h"
 #include "protocol/management_call.h"
 
 namespace yokestream::test {
 namespace {
 
-using manager::Service;
-using State = Service::State;
+using dispatch::ServiceLifecycle;
+using State = ServiceLifecycle::State;
 
 // The table of service.h, step by step, beside a model that knows only the table.
 struct Table {
@@ -21,7 +20,7 @@
     const bool sends_away = state == State::draining || state == State::drained;
     if (word == 0 && (state == State::ready || state == State::returning)) enter(State::draining);
     if (word == 1 && sends_away) enter(State::returning);
-    if (word == 2 && state != State::leaving) enter(State::leaving);
+    if (word == 2 && state != State::shutting_down) enter(State::shutting_down);
     if (word != 3) return;
     if (state == State::draining && now - since >= 1600ms) return enter(State::drained);
     if (state == State::returning && (!closing || now - since >= 1s)) enter(State::ready);
@@ -31,23 +30,24 @@
 TEST_CASE("the service states follow their table, whatever is told and when") {
   for (std::uint32_t seed = 1; seed <= 50; ++seed) {
     Steps steps(seed);
-    Service service;
+    ServiceLifecycle service;
     Table table;
     Time now{Duration(1000s)};
     for (int i = 0; i < 200; ++i) {
       now += Duration(1ms) * static_cast<int>(steps.below(900));
       const int word = steps.below(60) == 0 ? 2 : std::array{0, 1, 3, 3}[steps.below(4)];
       const bool closing = steps.below(2) == 0;
-      if (word == 0) service.evacuate(now);
-      if (word == 1) service.activate(now);
-      if (word == 2) service.leave(now, steps.below(2) == 0, 4s);
+      if (word == 0) service.start_draining(now);
+      if (word == 1) service.resume(now);
+      if (word == 2) service.begin_shutdown(now, steps.below(2) == 0, 4s);
       if (word == 3) service.tick(now, closing);
       table.step(word, now, closing);
       REQUIRE(service.state() == table.state);
-      REQUIRE(service.says_yes() == (table.state == State::ready));
+      REQUIRE(service.is_ready() == (table.state == State::ready));
       const bool sends_away = table.state == State::draining || table.state == State::drained;
-      if (table.state != State::leaving) REQUIRE(service.closes_idle(now) == sends_away);
-      if (table.state != State::leaving) REQUIRE(service.takes(now) == (table.state != State::drained));
+      if (table.state != State::shutting_down) REQUIRE(service.closes_idle_connections(now) == sends_away);
+      if (table.state != State::shutting_down)
+        REQUIRE(service.accepts_requests(now) == (table.state != State::drained));
     }
   }
 }
@@ -59,28 +59,28 @@
 TEST_CASE(
     "a drain closes what is idle at once, what is in use after its last answer, and refuses what is late") {
   Core c(config::decode_config(config_text()));
-  c.hear(manager::SessionBegan{manager::SessionId{2}});
+  c.hear(dispatch::SessionOpened{dispatch::SessionId{2}});
   c.arrive(1, 0, 4s, 2);
-  c.answer(c.written(), AnswerWord::served, 1, 0, "a\tb\tc\n");
+  c.answer(c.written(), ResponseType::result, 1, 0, "a\tb\tc\n");
   c.arrive(1);
   const auto out = c.written();
-  c.hear(manager::Evacuate{});
-  c.hear(manager::ProbeAsked{manager::SessionId{1}, 9});
+  c.hear(dispatch::StartDraining{});
+  c.hear(dispatch::ProbeReceived{dispatch::SessionId{1}, 9});
   CHECK(c.to(9).back().kind == "leaving");
   c.pass(300ms);
   CHECK(said(c, "close 2"));
   CHECK_FALSE(said(c, "close 1"));
   c.arrive(2);  // served as usual
-  c.answer(out, AnswerWord::served, 1, 0, "a\tb\tc\n");
+  c.answer(out, ResponseType::result, 1, 0, "a\tb\tc\n");
   CHECK_FALSE(said(c, "close 1"));  // it has one open still
-  c.answer(c.only(), AnswerWord::served, 1, 0, "a\tb\tc\n");
+  c.answer(c.only(), ResponseType::result, 1, 0, "a\tb\tc\n");
   CHECK(c.to(2).back().kind == "served");
   CHECK_FALSE(said(c, "close 1"));  // who asks again at once is not cut off just then
   c.pass(60ms);
   CHECK(said(c, "close 1"));
-  c.hear(manager::SessionEnded{manager::SessionId{1}});
+  c.hear(dispatch::SessionClosed{dispatch::SessionId{1}});
   c.pass(2s);
-  c.hear(manager::SessionBegan{manager::SessionId{3}});
+  c.hear(dispatch::SessionOpened{dispatch::SessionId{3}});
   c.arrive(1, 0, 4s, 3);
   CHECK(c.to(1, 3).back().kind == "refused");
   c.pass(400ms);
@@ -91,33 +91,33 @@
     "after a drain, or in the middle of one, yes is back within two seconds; a restart stays a restart") {
   Core c(config::decode_config(config_text()));
   for (const Duration when : {0ms, 500ms, 3000ms}) {
-    c.hear(manager::Evacuate{});
+    c.hear(dispatch::StartDraining{});
     c.pass(when);
-    c.hear(manager::Activate{});
-    c.hear(manager::Activate{});
+    c.hear(dispatch::Resume{});
+    c.hear(dispatch::Resume{});
     c.pass(2s);
-    CHECK(c.core.service().says_yes());
-    c.arrive(1000 + static_cast<manager::CallId>(when / 1ms));
-    CHECK(c.to(1000 + static_cast<manager::CallId>(when / 1ms)).empty());  // it is out
+    CHECK(c.core.lifecycle().is_ready());
+    c.arrive(1000 + static_cast<dispatch::CallId>(when / 1ms));
+    CHECK(c.to(1000 + static_cast<dispatch::CallId>(when / 1ms)).empty());  // it is out
   }
-  c.hear(manager::Evacuate{});
-  c.hear(manager::Leave{});
-  c.hear(manager::Activate{});
+  c.hear(dispatch::StartDraining{});
+  c.hear(dispatch::BeginShutdown{});
+  c.hear(dispatch::Resume{});
   c.pass(2s);
-  CHECK(c.core.service().leaving());
+  CHECK(c.core.lifecycle().is_shutting_down());
 }
 
 TEST_CASE(
     "beside a successor the restart accepts nobody, closes the idle, and serves on for as long as it may") {
   Core c(config::decode_config(config_text()));
   c.arrive(1);
-  c.answer(c.written(), AnswerWord::served, 1, 0, "a\tb\tc\n");
-  c.hear(manager::Leave{true, 4700ms});
-  CHECK_FALSE(c.core.service().listens(c.now));
+  c.answer(c.written(), ResponseType::result, 1, 0, "a\tb\tc\n");
+  c.hear(dispatch::BeginShutdown{true, 4700ms});
+  CHECK_FALSE(c.core.lifecycle().accepts_connections(c.now));
   c.pass(1500ms);  // a planned restart without one takes nothing any more by now
-  c.hear(manager::SessionBegan{manager::SessionId{2}});
+  c.hear(dispatch::SessionOpened{dispatch::SessionId{2}});
   c.arrive(1, 0, 4s, 2);
-  c.answer(c.written(), AnswerWord::served, 1, 0, "a\tb\tc\n");
+  c.answer(c.written(), ResponseType::result, 1, 0, "a\tb\tc\n");
   CHECK(c.to(1, 2).back().kind == "served");
   c.pass(60ms);
   CHECK(said(c, "close 2"));
@@ -127,15 +127,15 @@
     "a request that crosses the close of its connection is answered once, and nothing else is cut off") {
   Core c(config::decode_config(config_text()));
   c.arrive(1);
-  c.answer(c.written(), AnswerWord::served, 1, 0, "a\tb\tc\n");
-  c.hear(manager::Leave{true, 4700ms});
+  c.answer(c.written(), ResponseType::result, 1, 0, "a\tb\tc\n");
+  c.hear(dispatch::BeginShutdown{true, 4700ms});
   c.pass(60ms);
   REQUIRE(said(c, "close 1"));
   c.arrive(2);             // its bytes were read before the close was
   CHECK(c.to(2).empty());  // it is out
-  c.answer(c.only(), AnswerWord::served, 1, 0, "a\tb\tc\n");
+  c.answer(c.only(), ResponseType::result, 1, 0, "a\tb\tc\n");
   CHECK(c.to(2).size() == 1);
-  c.hear(manager::SessionEnded{manager::SessionId{1}});
+  c.hear(dispatch::SessionClosed{dispatch::SessionId{1}});
   c.pass(4s);
   CHECK(c.to(2).size() == 1);
   CHECK(c.core.open_requests() == 0);
@@ -149,21 +149,22 @@
     for (int step = 0; step < 400; ++step) {
       const auto chance = steps.below(10);
       if (chance < 4)
-        c.arrive(static_cast<manager::CallId>(step + 1), steps.below(2),
+        c.arrive(static_cast<dispatch::CallId>(step + 1), steps.below(2),
                  500ms + 1ms * static_cast<int>(steps.below(3000)));
       if (chance == 4 && !c.out.empty())
-        c.hear(manager::LinkUp{c.only().link}), c.only().state = Core::Sent::written;
-      if (chance == 5 && !c.out.empty()) c.answer(Core::Out(c.only()), AnswerWord::served, 1, 0, "a\tb\tc\n");
-      if (chance == 6 && !c.out.empty()) c.answer(Core::Out(c.only()), AnswerWord::crashed);
+        c.hear(dispatch::EngineConnected{c.only().link}), c.only().state = Core::Sent::written;
+      if (chance == 5 && !c.out.empty())
+        c.answer(Core::Out(c.only()), ResponseType::result, 1, 0, "a\tb\tc\n");
+      if (chance == 6 && !c.out.empty()) c.answer(Core::Out(c.only()), ResponseType::failed);
       if (chance == 7) c.pass(1ms * static_cast<int>(steps.below(800)));
-      if (steps.below(40) == 0) c.hear(manager::Evacuate{});
-      if (steps.below(40) == 0) c.hear(manager::Activate{});
+      if (steps.below(40) == 0) c.hear(dispatch::StartDraining{});
+      if (steps.below(40) == 0) c.hear(dispatch::Resume{});
     }
     c.pass(250ms);
     std::map<std::string, int> heard;
     for (const auto& [key, replies] : c.replies)
       heard[replies.at(0).kind] += static_cast<int>(replies.size());
-    const std::string text = c.core.figures().text();
+    const std::string text = c.core.metrics().text();
     const auto value = [&](const std::string& name) {
       const auto at = text.find("edge_relay." + name + ":");
       REQUIRE(at != std::string::npos);
--- a/tests/node/sessions_test.cpp
+++ b/tests/node/sessions_test.cpp
@@ -10,15 +10,15 @@
 
 TEST_CASE_FIXTURE(Fixture,
                   "a client that asks for nothing is closed, one with something open or on its way is not") {
-  const auto session = [](int n) { return manager::SessionId(n); };
+  const auto session = [](int n) { return dispatch::SessionId(n); };
   arrive(1);
-  for (const int n : {2, 3}) hear(manager::SessionBegan{session(n)});
+  for (const int n : {2, 3}) hear(dispatch::SessionOpened{session(n)});
   busy.insert(session(3));
   pass(2500ms);
   CHECK(count("close 1") + count("close 3") == 0);
   CHECK(count("close 2") == 1);
   busy.clear();
-  hear(manager::ProbeAsked{session(3), 1});
+  hear(dispatch::ProbeReceived{session(3), 1});
   pass(5s);
   CHECK(count("close 3") == 0);
   pass(2s);
@@ -26,8 +26,8 @@
 }
 
 TEST_CASE("when connections run short, who was never answered goes first, and who has something open stays") {
-  manager::Sessions sessions({4, 32, 8, 2s, 6s, 1s, 3});
-  const auto id = [](int n) { return manager::SessionId(n); };
+  dispatch::ClientSessions sessions({4, 32, 8, 2s, 6s, 1s, 3});
+  const auto id = [](int n) { return dispatch::SessionId(n); };
   const Time at{1000s};
   for (int n = 1; n <= 3; ++n) CHECK_FALSE(sessions.begin(at + n * 1ms, id(n)).has_value());
   sessions.opened(at, id(1));
@@ -41,8 +41,8 @@
 }
 
 TEST_CASE("a client that is answered often and never served floods, and without new ones the idle still go") {
-  manager::Sessions sessions({4, 32, 8, 2s, 6s, 1s, 3});
-  const auto id = [](int n) { return manager::SessionId(n); };
+  dispatch::ClientSessions sessions({4, 32, 8, 2s, 6s, 1s, 3});
+  const auto id = [](int n) { return dispatch::SessionId(n); };
   const Time at{1000s};
   for (int n = 1; n <= 3; ++n) sessions.begin(at, id(n));
   sessions.served(at, id(1));
--- a/tests/node/start_times_test.cpp
+++ b/tests/node/start_times_test.cpp
@@ -1,20 +1,19 @@
 // Starts of engines by a wall clock that is stepped by seconds or an hour, either way, at any moment.
-#include "manager/start_times.h"
-
 #include <doctest/doctest.h>
 
+#include "dispatch/engine_start_times.h"
 #include "helper.h"
 
 namespace yokestream::test {
 namespace {
 
-using manager::StartTimes;
+using dispatch::EngineStartTimes;
 
 // The steady clock runs on; the wall clock is what it should be, and so much off.
 struct Clocks {
   Time now{100000s};
   Duration off{};
-  StartTimes starts{[this](std::int64_t ms) { return Time(Duration(ms * 1000000)) - off; }};
+  EngineStartTimes starts{[this](std::int64_t ms) { return Time(Duration(ms * 1000000)) - off; }};
   static std::int64_t wall_ms(Time time) { return time.time_since_epoch() / 1ms; }
   Time told(const std::string& uid, Time started, bool news = true) {
     return starts.started(now, uid, wall_ms(started), news);
@@ -39,7 +38,7 @@
   for (const Duration step : {Duration(1h), Duration(-1h)}) {
     Clocks clocks;
     clocks.off = step;  // wrong before this process began, which it can't know
-    clocks.starts = StartTimes([step](std::int64_t ms) { return Time(Duration(ms * 1000000)) - step; });
+    clocks.starts = EngineStartTimes([step](std::int64_t ms) { return Time(Duration(ms * 1000000)) - step; });
     CHECK(clocks.told("a", clocks.now - 3s) == clocks.now);
   }
 }
@@ -66,8 +65,8 @@
     "a list that the core hears under a stepped clock: the new engine is cold, the known ones stay as warm") {
   Duration off{};
   const config::Config config = config::decode_config(config_text());
-  manager::Directory directory(config.real,
-                               [&](std::int64_t ms) { return Time(Duration(ms * 1000000)) - off; });
+  dispatch::EngineDirectory directory(config.real,
+                                      [&](std::int64_t ms) { return Time(Duration(ms * 1000000)) - off; });
   Time now{100000s};
   const auto member = [](const char* uid, Time started) {
     return config::decode_members(
@@ -76,13 +75,13 @@
         std::to_string(started.time_since_epoch() / 1ms) + "}]}}");
   };
   const Time old_start = now - 5s;
-  CHECK(*directory.apply(now, member("old", old_start), false).entries[0].started == old_start);
+  CHECK(*directory.apply(now, member("old", old_start), false).entries[0].start_time == old_start);
   for (const Duration step : {Duration(1h), Duration(-1h), Duration(-1h)}) {
     off += step;
     now += 1s;
-    CHECK(*directory.apply(now, member("old", old_start), false).entries[0].started == old_start);
+    CHECK(*directory.apply(now, member("old", old_start), false).entries[0].start_time == old_start);
     const std::string uid = "new" + std::to_string(now.time_since_epoch().count());
-    CHECK(*directory.apply(now, member(uid.c_str(), now - 2s), false).entries[0].started >= now - 2s);
+    CHECK(*directory.apply(now, member(uid.c_str(), now - 2s), false).entries[0].start_time >= now - 2s);
   }
 }
 
--- a/tests/node/together_test.cpp
+++ b/tests/node/together_test.cpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "config/config.h"
-#include "manager/budget.h"
+#include "dispatch/budget.h"
 
 namespace yokestream::test {
 namespace {
@@ -70,17 +70,17 @@
 }
 
 TEST_CASE("what is set aside for others is not given out, and what was given stays") {
-  manager::Budget budget(10);
-  manager::Reservation six, more;
-  REQUIRE(budget.take(six, 6));
+  dispatch::Budget budget(10);
+  dispatch::Reservation six, more;
+  REQUIRE(budget.try_reserve(six, 6));
   budget.set_aside(3);
-  CHECK_FALSE(budget.take(more, 2));
-  CHECK(budget.take(more, 1));
+  CHECK_FALSE(budget.try_reserve(more, 2));
+  CHECK(budget.try_reserve(more, 1));
   budget.set_aside(100);
-  CHECK_FALSE(budget.take(more, 1));
-  CHECK(budget.used() == 7);
+  CHECK_FALSE(budget.try_reserve(more, 1));
+  CHECK(budget.reserved() == 7);
   budget.set_aside(0);
-  CHECK(budget.take(more, 3));
+  CHECK(budget.try_reserve(more, 3));
 }
 
 TEST_CASE("two processes beside each other stay within the descriptors of one") {
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -1,7 +1,7 @@
 // The ordinary path, health, and failures found on the bench, each as a small case.
 #include "bench.h"
 
-namespace lynxstand::testing {
+namespace yokestream::policy::testing {
 namespace {
 
 TEST(Estimate, TakesTheToldWorkUntilOutcomesSayMore) {
@@ -87,7 +87,7 @@
 
 TEST(Bound, AFrontAmongManyKeepsToItsPart) {
   auto s = make_settings();
-  s.fronts = 4;
+  s.manager_count = 4;
   Front f(s, {engine("a")});
   std::size_t sent = 0;
   for (std::uint64_t id = 1; id < 20; ++id) sent += f.tries(f.arrive(id));
@@ -115,8 +115,8 @@
 
 TEST(Loads, AQueryDoesNotGoBehindALoadOnItsTables) {
   auto reader = make_class(), load = make_class(3s, 20s);
-  reader.waits_for_loads = true;
-  load.loads_tables = true;
+  reader.waits_for_table_group = true;
+  load.locks_table_group = true;
   Front f(make_settings({reader, load}), {engine("a"), engine("b")});
   const auto l = f.arrive(1, 20s, 2s, 1);
   int behind = 0;
@@ -129,25 +129,25 @@
 
 TEST(Loads, APeersLoadIsHeededAndItsEndToo) {
   auto reader = make_class(), load = make_class(3s, 20s);
-  reader.waits_for_loads = true;
-  load.loads_tables = true;
+  reader.waits_for_table_group = true;
+  load.locks_table_group = true;
   auto s = make_settings({reader, load});
-  s.fronts = 2;
+  s.manager_count = 2;
   s.may_message = true;
   Front peer(s), f(s);
   std::string begin;
   QueryArrived told;
   told.query = QueryId{1};
-  told.cls = ClassId{1};
+  told.query_class = ClassId{1};
   told.work = 2s;
   told.time_left = 20s;
   for (const Action& a : peer.feed(told)) {
-    if (const auto* t = std::get_if<TellPeers>(&a)) begin = t->payload;
+    if (const auto* t = std::get_if<BroadcastToPeers>(&a)) begin = t->payload;
   }
   ASSERT_FALSE(begin.empty());
   const std::string where = peer.sends[told.query].front();
-  f.feed(PeerMessage{FrontId{1}, begin});
-  f.feed(PeerMessage{FrontId{1}, "no such thing"});
+  f.feed(PeerMessage{ManagerId{1}, begin});
+  f.feed(PeerMessage{ManagerId{1}, "no such thing"});
   const auto q = f.arrive(2);
   EXPECT_NE(f.sends[q].front(), where);
 }
@@ -180,7 +180,7 @@
   for (std::uint64_t id = 1; id < 60; id += 2) {
     const auto lost = f.arrive(id), other = f.arrive(id + 1);
     f.pass(50ms);
-    f.feed(AttemptNote{lost, AttemptNo{0}, {f.sends[lost].front()}, Note::progress, 0.5});
+    f.feed(AttemptProgress{lost, AttemptNumber{0}, {f.sends[lost].front()}, ProgressKind::progress, 0.5});
     f.end(other, Outcome::served);
     f.end(lost, Outcome::timed_out);
     if (!f.finals[lost] && f.tries(lost) > 1) f.end(lost, Outcome::served);
@@ -206,12 +206,13 @@
 TEST(Health, ASilentEnginesQueriesAreCalledBack) {
   auto s = make_settings();
   s.may_cancel = true;
-  s.note_every = 500ms;
+  s.progress_interval = 500ms;
   Front f(s);
   const auto p = f.arrive(1, 15s, 4s), q = f.arrive(2, 15s, 4s);
   for (int i = 0; i < 8; ++i) {
     f.pass(500ms);
-    f.feed(AttemptNote{q, AttemptNo{0}, {f.sends[q].front()}, Note::progress, 0.12 * (i + 1)});
+    f.feed(
+        AttemptProgress{q, AttemptNumber{0}, {f.sends[q].front()}, ProgressKind::progress, 0.12 * (i + 1)});
   }
   EXPECT_NE(std::find(f.cancels.begin(), f.cancels.end(), p), f.cancels.end());
   f.end(p, Outcome::cancelled);
@@ -243,7 +244,7 @@
 
 TEST(Health, AFullEngineDoesNotDrawTheQueries) {
   auto s = make_settings();
-  s.most_attempts = 2;
+  s.max_attempts = 2;
   Front f(s);
   int full = 0;
   for (std::uint64_t id = 1; id <= 50; ++id) {  // "a" turns away at once and so looks idle
@@ -261,13 +262,13 @@
 
 TEST(Bound, CrowdingByOtherFrontsIsPressure) {
   auto s = make_settings();
-  s.fronts = 2;
-  s.reports = ReportSource::answers;
-  s.report_fields = {ReportField::inflight};
+  s.manager_count = 2;
+  s.load_report_source = LoadReportSource::answers;
+  s.load_report_fields = {LoadReportField::inflight};
   const auto sent_with = [&](double inflight) {
     Front f(s, {engine("a")});
     const auto q = f.arrive(1);
-    AttemptEnded e{q, AttemptNo{0}, {"a"}, Outcome::served, 100ms, true, {inflight}};
+    AttemptEnded e{q, AttemptNumber{0}, {"a"}, Outcome::served, 100ms, true, {inflight}};
     f.feed(e);
     std::size_t sent = 0;
     for (std::uint64_t id = 2; id < 30; ++id) sent += f.tries(f.arrive(id));
@@ -278,7 +279,7 @@
 
 TEST(Bound, TheShareGrowsWhenPeersLeaveTheEnginesIdle) {
   auto s = make_settings();
-  s.fronts = 4;
+  s.manager_count = 4;
   Front f(s, {engine("a")});
   std::uint64_t id = 1;
   const auto running = [&] {
@@ -315,7 +316,7 @@
 TEST(Limit, OverATenantsShareIsRefusedUnderPressureOnly) {
   auto s = make_settings({make_class(4s, 5s)});
   s.tenants = {{0.5, 2}, {0.5, 1000}};
-  s.over_share_worth = 0.05;
+  s.over_quota_weight_ratio = 0.05;
   Front f(s, {engine("a")});
   std::uint64_t id = 1;
   const auto ask = [&](std::uint32_t tenant) {
@@ -350,11 +351,11 @@
 TEST(BadPlan, AnAttemptFarOverItsEstimateIsCancelledAndTriedAgain) {
   auto s = make_settings();
   s.may_cancel = true;
-  s.note_every = 500ms;
+  s.progress_interval = 500ms;
   Front f(s);
   const auto q = f.arrive(1, 5s, 400ms);
   f.pass(500ms);
-  f.feed(AttemptNote{q, AttemptNo{0}, {f.sends[q].front()}, Note::progress, 0.05});
+  f.feed(AttemptProgress{q, AttemptNumber{0}, {f.sends[q].front()}, ProgressKind::progress, 0.05});
   ASSERT_EQ(f.cancels.size(), 1u);
   f.end(q, Outcome::cancelled);
   EXPECT_EQ(f.tries(q), 2u);
@@ -363,11 +364,11 @@
 TEST(BadPlan, AnAttemptOnItsWayIsLeftAlone) {
   auto s = make_settings();
   s.may_cancel = true;
-  s.note_every = 500ms;
+  s.progress_interval = 500ms;
   Front f(s);
   const auto q = f.arrive(1, 5s, 1s);
   f.pass(500ms);
-  f.feed(AttemptNote{q, AttemptNo{0}, {f.sends[q].front()}, Note::progress, 0.45});
+  f.feed(AttemptProgress{q, AttemptNumber{0}, {f.sends[q].front()}, ProgressKind::progress, 0.45});
   EXPECT_TRUE(f.cancels.empty());
 }
 
@@ -384,19 +385,19 @@
   none.classes.clear();
   EXPECT_THROW(AdmissionController(none, 1, Time{}), std::invalid_argument);
   auto bare = make_settings();
-  bare.fronts = 0;
+  bare.manager_count = 0;
   EXPECT_THROW(AdmissionController(bare, 1, Time{}), std::invalid_argument);
 }
 
 TEST(Interface, UnknownClassesThrowAndUnknownIdsAreIgnored) {
   Front f(make_settings());
   QueryArrived q;
-  q.cls = ClassId{9};
+  q.query_class = ClassId{9};
   EXPECT_THROW(f.feed(q), std::invalid_argument);
-  f.feed(AttemptEnded{QueryId{5}, AttemptNo{0}, {"x"}, Outcome::served, 1ms, true, {}});
-  f.feed(AttemptNote{QueryId{5}, AttemptNo{3}, {"x"}, Note::spills, 4});
-  f.feed(ClientLeft{QueryId{5}});
-  f.feed(AnswerStarted{QueryId{5}, AttemptNo{0}, {"x"}});
+  f.feed(AttemptEnded{QueryId{5}, AttemptNumber{0}, {"x"}, Outcome::served, 1ms, true, {}});
+  f.feed(AttemptProgress{QueryId{5}, AttemptNumber{3}, {"x"}, ProgressKind::spilling, 4});
+  f.feed(ClientDisconnected{QueryId{5}});
+  f.feed(ResponseStarted{QueryId{5}, AttemptNumber{0}, {"x"}});
   EXPECT_TRUE(f.finals.empty());
 }
 
@@ -416,7 +417,7 @@
 TEST(Choice, ManyFrontsDoNotAllChooseTheLargerKind) {
   auto s = make_settings();
   s.kinds = {{16, 0}, {12, 0}};
-  s.fronts = 200;
+  s.manager_count = 200;
   auto small = engine("b");
   small.kind = KindId{1};
   int on_small = 0;
@@ -431,10 +432,10 @@
 // A front of many whose engines tell in each answer, or when `told` of them, how many queries they hold.
 Settings seldom_met() {
   auto s = make_settings({make_class(2s, 8s)});
-  s.fronts = 100;
+  s.manager_count = 100;
   s.kinds = {{8, 0}};
-  s.reports = ReportSource::answers;
-  s.report_fields = {ReportField::inflight};
+  s.load_report_source = LoadReportSource::answers;
+  s.load_report_fields = {LoadReportField::inflight};
   return s;
 }
 void told(Front& f, const std::string& engine, double inflight) {
@@ -471,15 +472,15 @@
 
 TEST(Pool, AColdEngineIsNotTakenForAsCrowdedAsTheOthers) {
   auto s = seldom_met();
-  s.fronts = 10;
-  s.cold = 12s;
-  s.start_capacity = 0.4;
-  s.tip_multiple = 2.5;
-  s.tip_after = 3s;
+  s.manager_count = 10;
+  s.slow_start_window = 12s;
+  s.slow_start_initial_ratio = 0.4;
+  s.cold_overload_multiple = 2.5;
+  s.cold_overload_window = 3s;
   Front f(s, {engine("a")});
   for (int i = 0; i < 30; ++i) told(f, "a", 40);
   auto cold = engine("b");
-  cold.started = f.now;
+  cold.start_time = f.now;
   f.list({cold});
   f.pass(4s);
   told(f, "a", 40);
@@ -491,7 +492,7 @@
 TEST(Peers, WhatIsToldOfIsCountedAndDamageIsIgnored) {
   auto s = make_settings({make_class(4s, 8s)});
   s.kinds = {{4, 1000}};
-  s.fronts = 2;
+  s.manager_count = 2;
   s.may_message = true;
   Front peer(s), f(s);
   const auto arrive = [](Front& at, std::uint64_t id, double memory,
@@ -502,7 +503,7 @@
     q.time_left = 8s;
     q.memory_mb = memory;
     for (const Action& a : at.feed(q)) {
-      if (const auto* t = std::get_if<TellPeers>(&a); t && told) told->push_back(t->payload);
+      if (const auto* t = std::get_if<BroadcastToPeers>(&a); t && told) told->push_back(t->payload);
     }
     return q.query;
   };
@@ -512,16 +513,16 @@
   ASSERT_EQ(told.size(), 2u);
   for (const auto& t : told) {
     EXPECT_LE(t.size(), 7u);  // every byte is paid for by every receiver
-    f.feed(PeerMessage{FrontId{1}, t});
-    for (std::size_t cut = 0; cut < t.size(); ++cut) f.feed(PeerMessage{FrontId{1}, t.substr(0, cut)});
-    f.feed(PeerMessage{FrontId{1}, std::string(t.size(), '\xff')});
+    f.feed(PeerMessage{ManagerId{1}, t});
+    for (std::size_t cut = 0; cut < t.size(); ++cut) f.feed(PeerMessage{ManagerId{1}, t.substr(0, cut)});
+    f.feed(PeerMessage{ManagerId{1}, std::string(t.size(), '\xff')});
   }
   const auto big = arrive(f, 99, 600);  // fits beside neither of the peer's two
   EXPECT_EQ(f.tries(big), 0u);
   EXPECT_EQ(f.finals[big], 0);
-  AttemptEnded end{on_one, AttemptNo{0}, {peer.sends[on_one].front()}, Outcome::served, 100ms, true, {}};
+  AttemptEnded end{on_one, AttemptNumber{0}, {peer.sends[on_one].front()}, Outcome::served, 100ms, true, {}};
   for (const Action& a : peer.feed(end)) {
-    if (const auto* t = std::get_if<TellPeers>(&a)) f.feed(PeerMessage{FrontId{1}, t->payload});
+    if (const auto* t = std::get_if<BroadcastToPeers>(&a)) f.feed(PeerMessage{ManagerId{1}, t->payload});
   }
   f.pass(200ms);
   ASSERT_EQ(f.tries(big), 1u);
@@ -573,7 +574,7 @@
 
 TEST(Stall, AfterAGapNothingIsSentBeforeTheBacklogIsRead) {
   auto s = make_settings();
-  s.note_every = 500ms;
+  s.progress_interval = 500ms;
   s.may_cancel = true;
   Front f(s);
   const auto p = f.arrive(1);
@@ -592,13 +593,13 @@
 TEST(Lost, AnAttemptWhoseNotesStopIsCalledBackWhileItsEngineServes) {
   auto s = make_settings({make_class(8s, 20s)});
   s.kinds = {{64, 0}};
-  s.note_every = 500ms;
+  s.progress_interval = 500ms;
   s.may_cancel = true;
   Front f(s, {engine("a")});
   const auto lost = f.arrive(1, 20s, 2s), runs = f.arrive(2, 20s, 8s);
   for (int i = 0; i < 3; ++i) {
     f.pass(500ms);
-    f.feed(AttemptNote{runs, AttemptNo{0}, {"a"}, Note::progress, 0.1 * (i + 1)});
+    f.feed(AttemptProgress{runs, AttemptNumber{0}, {"a"}, ProgressKind::progress, 0.1 * (i + 1)});
   }
   ASSERT_EQ(f.cancels.size(), 1u);
   EXPECT_EQ(f.cancels.front(), lost);
@@ -609,11 +610,11 @@
 
 TEST(Probes, AQueryLooksAroundAndAvoidsWhatOthersFill) {
   auto s = make_settings({make_class(4s, 8s)});
-  s.fronts = 10;
+  s.manager_count = 10;
   s.kinds = {{8, 0}};
   s.may_probe = true;
-  s.reports = ReportSource::probes;
-  s.report_fields = {ReportField::inflight};
+  s.load_report_source = LoadReportSource::probes;
+  s.load_report_fields = {LoadReportField::inflight};
   int on_full = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Front f(s, {engine("a"), engine("b")}, seed);
@@ -638,10 +639,10 @@
 
 TEST(Probes, LostProbesDelayAQueryByATickOnly) {
   auto s = make_settings({make_class(4s, 8s)});
-  s.fronts = 2;
+  s.manager_count = 2;
   s.may_probe = true;
-  s.reports = ReportSource::answers;
-  s.report_fields = {ReportField::cpu};
+  s.load_report_source = LoadReportSource::answers;
+  s.load_report_fields = {LoadReportField::cpu};
   Front f(s);
   const auto q = f.arrive(1);
   EXPECT_EQ(f.tries(q), 0u);
@@ -651,17 +652,17 @@
 
 TEST(Probes, NoneWhereReportsTellNothingOfWhatRuns) {
   auto s = make_settings();
-  s.fronts = 2;
+  s.manager_count = 2;
   s.may_probe = true;
-  s.reports = ReportSource::probes;
-  s.report_fields = {ReportField::queue, ReportField::latency_ms};
+  s.load_report_source = LoadReportSource::probes;
+  s.load_report_fields = {LoadReportField::queue, LoadReportField::latency_ms};
   Front f(s);
   EXPECT_EQ(f.tries(f.arrive(1)), 1u);
 }
 
 TEST(Bound, UnderPressureTheSumOverEnginesBindsWhereOneEnginesPartIsUnderAQuery) {
   auto s = make_settings({make_class(4s, 8s)});
-  s.fronts = 10;
+  s.manager_count = 10;
   std::vector<EngineEntry> engines;
   for (int i = 0; i < 20; ++i) engines.push_back(engine("e" + std::to_string(i)));
   const auto sent_after = [&](Duration took) {
@@ -686,7 +687,7 @@
     for (int i = 0; i < 6; ++i) {  // full each time: the wait for it grows
       const auto q = f.arrive(++id);
       f.end(q, Outcome::shed);
-      f.feed(ClientLeft{q});
+      f.feed(ClientDisconnected{q});
       f.pass(7s);
     }
     f.list({engine("a", EngineState::gone)});
@@ -703,7 +704,7 @@
 
 TEST(Bound, WhereAPartHoldsAQueryASlowPoolIsNotEmptied) {
   auto s = make_settings({make_class(20s, 40s)});
-  s.fronts = 2;
+  s.manager_count = 2;
   std::vector<EngineEntry> engines;
   for (int i = 0; i < 8; ++i) engines.push_back(engine("e" + std::to_string(i)));
   Front f(s, engines);
@@ -720,11 +721,11 @@
 
 TEST(Probes, AnEngineNearlyOutOfMemoryByItsReportGetsNone) {
   auto s = make_settings({make_class(4s, 8s)});
-  s.fronts = 100;
+  s.manager_count = 100;
   s.kinds = {{8, 8000}};
   s.may_probe = true;
-  s.reports = ReportSource::probes;
-  s.report_fields = {ReportField::cpu, ReportField::memory};
+  s.load_report_source = LoadReportSource::probes;
+  s.load_report_fields = {LoadReportField::cpu, LoadReportField::memory};
   const auto sent_with = [&](double memory) {
     Front f(s, {engine("a")});
     const auto q = f.arrive(1, 8s);
@@ -738,10 +739,10 @@
 
 TEST(Probes, AProbeBringsAShunnedEngineBack) {
   auto s = make_settings({make_class(4s, 8s)});
-  s.fronts = 2;
+  s.manager_count = 2;
   s.may_probe = true;
-  s.reports = ReportSource::probes;
-  s.report_fields = {ReportField::inflight};
+  s.load_report_source = LoadReportSource::probes;
+  s.load_report_fields = {LoadReportField::inflight};
   Front f(s);
   std::uint64_t id = 1;
   const auto answer_probes = [&](const std::vector<Action>& actions, Outcome of_a) {
@@ -796,7 +797,7 @@
 TEST(BadPlan, WhereNoWorkIsToldTheClassesOwnScatterIsNoBadPlan) {
   auto s = make_settings({make_class(1s, 20s)});
   s.may_cancel = true;
-  s.note_every = 500ms;
+  s.progress_interval = 500ms;
   s.kinds = {{64, 0}};
   Front f(s);
   const auto ask = [&](std::uint64_t id) {
@@ -813,20 +814,20 @@
   }
   const auto wide = ask(100), bad = ask(101);
   f.pass(500ms);
-  f.feed(AttemptNote{wide, AttemptNo{0}, {f.sends[wide].front()}, Note::progress, 0.2});
+  f.feed(AttemptProgress{wide, AttemptNumber{0}, {f.sends[wide].front()}, ProgressKind::progress, 0.2});
   EXPECT_TRUE(f.cancels.empty());  // 2.5 s in all, as many do
-  f.feed(AttemptNote{bad, AttemptNo{0}, {f.sends[bad].front()}, Note::progress, 0.005});
+  f.feed(AttemptProgress{bad, AttemptNumber{0}, {f.sends[bad].front()}, ProgressKind::progress, 0.005});
   EXPECT_EQ(f.cancels.size(), 1u);
 }
 
 TEST(Limit, WhatIsOverItsQuotaTakesOnlyEnginesWithRoomToSpare) {
   auto s = make_settings({make_class(4s, 8s)});
-  s.fronts = 4;
+  s.manager_count = 4;
   s.tenants = {{0.5, 2}, {0.5, 1000}};
-  s.over_share_worth = 0.05;
+  s.over_quota_weight_ratio = 0.05;
   s.may_probe = true;
-  s.reports = ReportSource::probes;
-  s.report_fields = {ReportField::inflight};
+  s.load_report_source = LoadReportSource::probes;
+  s.load_report_fields = {LoadReportField::inflight};
   Front f(s, {engine("a")});
   const auto ask = [&](std::uint64_t id, std::uint32_t tenant, double inflight) {
     QueryArrived q;
@@ -849,15 +850,15 @@
 
 TEST(Estimate, WorkThatAnswersTellCorrectsTheWantedTime) {
   auto s = make_settings({make_class(2s, 20s)});
-  s.classes[0].aim_stretch = 2;
-  s.tells_cost = true;
+  s.classes[0].latency_objective_stretch = 2;
+  s.reports_cost = true;
   const auto refused_after = [&](Duration needed) {
     Front f(s, {engine("a")});
     std::uint64_t id = 1;
     for (; id <= 120; ++id) {
       const auto q = f.arrive(id, 20s, 100ms);
       f.pass(100ms);
-      f.feed(AttemptEnded{q, AttemptNo{0}, {"a"}, Outcome::served, 100ms, true, {}, needed, 64});
+      f.feed(AttemptEnded{q, AttemptNumber{0}, {"a"}, Outcome::served, 100ms, true, {}, needed, 64});
     }
     QueryId held{};
     for (; id <= 160; ++id) held = f.arrive(id, 20s, 100ms);
@@ -879,7 +880,7 @@
     q.query = QueryId{id};
     q.work = 100ms;
     q.time_left = left;
-    q.repeat = repeat;
+    q.is_retry = repeat;
     f.feed(q);
     return f.refused[q.query];
   };
@@ -910,4 +911,4 @@
 }
 
 }  // namespace
-}  // namespace lynxstand::testing
+}  // namespace yokestream::policy::testing
--- a/tests/processes/fleet_store_test.cpp
+++ b/tests/processes/fleet_store_test.cpp
@@ -14,7 +14,7 @@
 bool publishes(const store::Txn& txn) {
   return std::any_of(txn.then.begin(), txn.then.end(), [](const auto& op) {
     const auto* put = std::get_if<store::Put>(&op);
-    return put && put->key == kNames.state(duty::Fleet::kDuty);
+    return put && put->key == kNames.state(coordination::Fleet::kDuty);
   });
 }
 bool releases(const store::Txn& txn) {
@@ -92,7 +92,7 @@
   standin::StoreServer server;
   for (const auto& [key, words] :
        {std::pair{kNames.format(), "the store holds another form under /yokestream/"},
-        std::pair{kNames.state(duty::Fleet::kDuty),
+        std::pair{kNames.state(coordination::Fleet::kDuty),
                   "the store's record /yokestream/state/shares can't be read"}}) {
     server.with([&, &at = key](auto& model) {
       model = StoreModel();
