--- a/tests/processes/three_managers.h
+++ b/tests/processes/three_managers.h
@@ -18,8 +18,8 @@
 using standin::Link;
 using standin::StoreModel;
 
-inline const duty::Names kNames("/yokestream");
-inline const std::string kLine = kNames.line(duty::Fleet::kDuty);
+inline const coordination::Names kNames("/yokestream");
+inline const std::string kLine = kNames.line(coordination::Fleet::kDuty);
 
 inline std::vector<store::KeyValue> all(StoreModel& model, const std::string& prefix) {
   return model.range({prefix, store::after_prefix(prefix), 0});
@@ -29,12 +29,12 @@
   std::sort(out.begin(), out.end(), [](auto& a, auto& b) { return a.create < b.create; });
   return out;
 }
-inline std::optional<duty::Table> table(StoreModel& model) {
-  const auto found = model.range({kNames.state(duty::Fleet::kDuty), {}, 0});
-  return found.empty() ? std::nullopt : duty::decode_table(found[0].value);
+inline std::optional<coordination::Table> table(StoreModel& model) {
+  const auto found = model.range({kNames.state(coordination::Fleet::kDuty), {}, 0});
+  return found.empty() ? std::nullopt : coordination::decode_table(found[0].value);
 }
 inline std::optional<store::Revision> beaten(StoreModel& model) {
-  const auto found = model.range({kNames.beat(duty::Fleet::kDuty), {}, 0});
+  const auto found = model.range({kNames.beat(coordination::Fleet::kDuty), {}, 0});
   return found.empty() ? std::nullopt : std::optional(found[0].mod);
 }
 
--- a/tests/random_test.cpp
+++ b/tests/random_test.cpp
@@ -5,7 +5,7 @@
 
 #include "bench.h"
 
-namespace lynxstand::testing {
+namespace yokestream::policy::testing {
 namespace {
 
 struct Judge {
@@ -36,14 +36,15 @@
   }
   void act(Time now, const Action& action) {
     if (const auto* send = std::get_if<Send>(&action)) on_send(now, *send);
-    if (const auto* refuse = std::get_if<Refuse>(&action)) {
+    if (const auto* refuse = std::get_if<Reject>(&action)) {
       auto& q = seen.at(refuse->query);
       need(q.finals++ == 0 && !q.left, "two final answers");
-      const auto& c = s.classes[static_cast<std::size_t>(q.told.cls)];
+      const auto& c = s.classes[static_cast<std::size_t>(q.told.query_class)];
       bool may_have = q.out() > 0;
       for (const Outcome o : q.ends) may_have |= ran(o);
-      need(!may_have || c.repeatable == Repeatable::always ||
-               (c.repeatable == Repeatable::keyed && c.repeat_group == RepeatGroup::everywhere),
+      need(!may_have || c.idempotency == Idempotency::idempotent ||
+               (c.idempotency == Idempotency::keyed &&
+                c.deduplication_scope == DeduplicationScope::everywhere),
            "refused though it may have run");
     }
     if (const auto* fail = std::get_if<Fail>(&action)) {
@@ -53,26 +54,28 @@
   }
   void on_send(Time now, const Send& send) {
     auto& q = seen.at(send.query);
-    const auto& c = s.classes[static_cast<std::size_t>(q.told.cls)];
+    const auto& c = s.classes[static_cast<std::size_t>(q.told.query_class)];
     const auto& e = listed.at(send.engine.name);
     need(q.finals == 0 && !q.left, "sent after its end");
     need(q.out() == 0, "two attempts at once");
-    need(q.tries.size() < s.most_attempts, "too many attempts");
+    need(q.tries.size() < s.max_attempts, "too many attempts");
     if (told_off.count(send.engine.name)) need(now - told_off[send.engine.name] <= s.drain_grace, "drain");
-    if (!c.only_zones.empty())
-      need(std::count(c.only_zones.begin(), c.only_zones.end(), e.zone), "placement");
-    if (!c.only_kinds.empty())
-      need(std::count(c.only_kinds.begin(), c.only_kinds.end(), e.kind), "placement");
+    if (!c.allowed_zones.empty())
+      need(std::count(c.allowed_zones.begin(), c.allowed_zones.end(), e.zone), "placement");
+    if (!c.allowed_kinds.empty())
+      need(std::count(c.allowed_kinds.begin(), c.allowed_kinds.end(), e.kind), "placement");
     for (std::size_t i = 0; i < q.ends.size(); ++i) {
       if (!ran(q.ends[i])) continue;
-      need(c.repeatable != Repeatable::never, "unsafe repeated");
-      if (c.repeatable != Repeatable::keyed) continue;
-      need(now - q.tries[i].second <= c.repeat_window, "keyed after its window");
+      need(c.idempotency != Idempotency::non_idempotent, "unsafe repeated");
+      if (c.idempotency != Idempotency::keyed) continue;
+      need(now - q.tries[i].second <= c.deduplication_window, "keyed after its window");
       const auto& first = listed.at(q.tries[i].first);
-      if (c.repeat_group == RepeatGroup::cell) need(first.cell == e.cell, "keyed outside its cell");
-      if (c.repeat_group == RepeatGroup::zone) need(first.zone == e.zone, "keyed outside its zone");
+      if (c.deduplication_scope == DeduplicationScope::cell)
+        need(first.cell == e.cell, "keyed outside its cell");
+      if (c.deduplication_scope == DeduplicationScope::zone)
+        need(first.zone == e.zone, "keyed outside its zone");
     }
-    if (c.in_order && q.told.order_key) {
+    if (c.ordered && q.told.order_key) {
       const auto key = *q.told.order_key;
       for (const QueryId before : lines[key]) {
         if (before == send.query) break;
@@ -83,13 +86,14 @@
       if (it != quiet_until.end() && it->second.second != send.query)
         need(now >= it->second.first, "order pause");
     }
-    if (!q.tries.empty() && s.extra_limited) {
+    if (!q.tries.empty() && s.retry_budget_enabled) {
       extra.push_back(now);
       const auto within = [&](const std::deque<Time>& times) {
-        return std::count_if(times.begin(), times.end(), [&](Time t) { return t > now - s.extra_span; });
+        return std::count_if(times.begin(), times.end(),
+                             [&](Time t) { return t > now - s.retry_budget_window; });
       };
       need(static_cast<double>(within(extra)) <=
-               s.extra_free + s.extra_ratio * static_cast<double>(within(taken)) + 1e-9,
+               s.retry_budget_min_retries + s.retry_budget_ratio * static_cast<double>(within(taken)) + 1e-9,
            "budget");
     }
     q.tries.emplace_back(send.engine.name, now);
@@ -97,8 +101,8 @@
   void ended(Time now, QueryId id, Outcome o) {
     auto& q = seen.at(id);
     q.ends.push_back(o);
-    const auto& c = s.classes[static_cast<std::size_t>(q.told.cls)];
-    if (c.in_order && q.told.order_key &&
+    const auto& c = s.classes[static_cast<std::size_t>(q.told.query_class)];
+    if (c.ordered && q.told.order_key &&
         (o == Outcome::timed_out || o == Outcome::reset || o == Outcome::cancelled)) {
       quiet_until[*q.told.order_key] = {now + s.order_pause, id};
     }
@@ -110,35 +114,35 @@
   for (auto& c : classes) {
     c = make_class(std::chrono::milliseconds(200 + random() % 1500),
                    std::chrono::milliseconds(2000 + random() % 5000));
-    c.repeatable = static_cast<Repeatable>(random() % 3);
-    c.repeat_group = static_cast<RepeatGroup>(random() % 3);
-    c.repeat_window = std::chrono::milliseconds(300 + random() % 3000);
-    c.in_order = random() % 3 == 0;
+    c.idempotency = static_cast<Idempotency>(random() % 3);
+    c.deduplication_scope = static_cast<DeduplicationScope>(random() % 3);
+    c.deduplication_window = std::chrono::milliseconds(300 + random() % 3000);
+    c.ordered = random() % 3 == 0;
     c.threads = 1 + random() % 3;
-    c.loads_tables = random() % 4 == 0;
-    c.waits_for_loads = random() % 3 == 0;
-    if (random() % 4 == 0) c.only_zones = {ZoneId{static_cast<std::uint32_t>(random() % 2)}};
-    if (random() % 4 == 0) c.only_kinds = {KindId{static_cast<std::uint32_t>(random() % 2)}};
+    c.locks_table_group = random() % 4 == 0;
+    c.waits_for_table_group = random() % 3 == 0;
+    if (random() % 4 == 0) c.allowed_zones = {ZoneId{static_cast<std::uint32_t>(random() % 2)}};
+    if (random() % 4 == 0) c.allowed_kinds = {KindId{static_cast<std::uint32_t>(random() % 2)}};
   }
   Settings s = make_settings(classes);
   s.kinds = {{4, 4000}, {8, 0}};
   s.zones = 2;
-  s.fronts = 1 + random() % 4;
-  s.most_attempts = 1 + random() % 4;
+  s.manager_count = 1 + random() % 4;
+  s.max_attempts = 1 + random() % 4;
   s.may_cancel = random() % 2;
-  s.grants = random() % 2;
-  s.priorities = random() % 2;
+  s.memory_grants = random() % 2;
+  s.query_priorities = random() % 2;
   s.may_message = random() % 2;
-  s.note_every = random() % 2 ? 500ms : 0ms;
+  s.progress_interval = random() % 2 ? 500ms : 0ms;
   s.order_pause = std::chrono::milliseconds(random() % 600);
-  s.extra_limited = random() % 2;
-  s.extra_free = random() % 4;
-  s.extra_ratio = 0.1;
-  s.extra_span = 2s;
-  s.start_capacity = 0.3;
-  s.cold = 5s;
-  s.tip_multiple = 2;
-  s.tip_after = 1s;
+  s.retry_budget_enabled = random() % 2;
+  s.retry_budget_min_retries = random() % 4;
+  s.retry_budget_ratio = 0.1;
+  s.retry_budget_window = 2s;
+  s.slow_start_initial_ratio = 0.3;
+  s.slow_start_window = 5s;
+  s.cold_overload_multiple = 2;
+  s.cold_overload_window = 1s;
   return s;
 }
 
@@ -156,12 +160,12 @@
   std::set<std::string> down, silent;
   struct Pending {
     QueryId query;
-    AttemptNo attempt;
+    AttemptNumber attempt;
     std::string engine;
     Time sent;
   };
   std::multimap<Time, Pending> pending;
-  const auto list = [&](const std::vector<EngineEntry>& entries, ListKind kind) {
+  const auto list = [&](const std::vector<EngineEntry>& entries, EngineListKind kind) {
     for (const auto& e : entries) {
       judge.listed[e.engine.name] = e;
       if (e.state == EngineState::up)
@@ -182,7 +186,7 @@
           took = deadline - front.now;  // the answer is lost
         if (down.count(send->engine.name)) took = 5ms;
         pending.emplace(std::min(front.now + took, deadline),
-                        Pending{send->query, AttemptNo{static_cast<std::uint32_t>(q.tries.size() - 1)},
+                        Pending{send->query, AttemptNumber{static_cast<std::uint32_t>(q.tries.size() - 1)},
                                 send->engine.name, front.now});
         ++totals.sends;
         totals.again += q.tries.size() > 1;
@@ -206,7 +210,7 @@
     e.cell = CellId{static_cast<std::uint64_t>(i % 3)};
     all.push_back(e);
   }
-  take(front.feed(list(all, ListKind::remembered)));
+  take(front.feed(list(all, EngineListKind::cached)));
   std::uint64_t next = 1;
   const Time end = front.now + 20s;
   while (front.now < end) {
@@ -214,14 +218,14 @@
     while (!front.wakes.empty() && front.wakes.begin()->first <= front.now) {
       const auto token = front.wakes.begin()->second;
       front.wakes.erase(front.wakes.begin());
-      take(front.feed(Woken{token}));
+      take(front.feed(TimerFired{token}));
     }
     const bool quiet = front.now > end - 8s;  // all must be answered by the end
     if (!quiet && random() % 3 == 0) {
       QueryArrived q;
       q.query = QueryId{next++};
-      q.cls = ClassId{static_cast<std::uint32_t>(random() % s.classes.size())};
-      q.tables = TableGroupId{random() % 3};
+      q.query_class = ClassId{static_cast<std::uint32_t>(random() % s.classes.size())};
+      q.table_group = TableGroupId{random() % 3};
       if (random() % 2) q.order_key = OrderKey{random() % 3};
       if (random() % 2) q.work = std::chrono::milliseconds(1 + random() % 800);
       q.memory_mb = static_cast<double>(random() % 500);
@@ -229,7 +233,7 @@
       judge.seen[q.query].told = q;
       judge.seen[q.query].came = front.now;
       judge.taken.push_back(front.now);
-      if (s.classes[static_cast<std::size_t>(q.cls)].in_order && q.order_key)
+      if (s.classes[static_cast<std::size_t>(q.query_class)].ordered && q.order_key)
         judge.lines[*q.order_key].push_back(q.query);
       ++totals.queries;
       take(front.feed(q));
@@ -245,12 +249,12 @@
           silent.count(name) ? (void)silent.erase(name) : (void)silent.insert(name);
           break;
         case 2:
-          e.started = front.now;
+          e.start_time = front.now;
           break;
         default:
           e.state = static_cast<EngineState>(random() % 3);
       }
-      auto news = list({e}, ListKind::changes);
+      auto news = list({e}, EngineListKind::delta);
       if (blind) news.entries[0].state = EngineState::up;
       take(front.feed(news));
       if (random() % 8 == 0) {  // a gap, then the whole list
@@ -258,7 +262,7 @@
         for (const auto& x : all) {
           if (x.state != EngineState::gone || blind) some.push_back(x);
         }
-        auto full = list(some, ListKind::full);
+        auto full = list(some, EngineListKind::full);
         if (blind)
           for (auto& x : full.entries) x.state = EngineState::up;
         take(front.feed(full));
@@ -266,16 +270,16 @@
     }
     if (random() % 60 == 0 && !pending.empty()) {
       const auto& p = pending.begin()->second;
-      take(front.feed(AttemptNote{p.query,
-                                  p.attempt,
-                                  {p.engine},
-                                  static_cast<Note>(random() % 4),
-                                  static_cast<double>(random() % 100) / 100}));
+      take(front.feed(AttemptProgress{p.query,
+                                      p.attempt,
+                                      {p.engine},
+                                      static_cast<ProgressKind>(random() % 4),
+                                      static_cast<double>(random() % 100) / 100}));
     }
     if (random() % 200 == 0 && next > 1) {
       const QueryId id{1 + random() % (next - 1)};
       auto& q = judge.seen.at(id);
-      if (q.finals == 0 && !q.left) q.left = true, take(front.feed(ClientLeft{id}));
+      if (q.finals == 0 && !q.left) q.left = true, take(front.feed(ClientDisconnected{id}));
     }
     while (!pending.empty() && pending.begin()->first <= front.now) {
       const Pending p = pending.begin()->second;
@@ -318,4 +322,4 @@
 }
 
 }  // namespace
-}  // namespace lynxstand::testing
+}  // namespace yokestream::policy::testing
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -3,7 +3,7 @@
 
 #include "bench.h"
 
-namespace lynxstand::testing {
+namespace yokestream::policy::testing {
 namespace {
 
 TEST(RuleNoneLost, NothingToSendToStillEndsOnceBeforeTheDeadline) {
@@ -28,7 +28,7 @@
 TEST(RuleNoneLost, AnOutcomeAfterTheClientLeftChangesNothing) {
   Front f(make_settings());
   const auto q = f.arrive(1);
-  f.feed(ClientLeft{q});
+  f.feed(ClientDisconnected{q});
   f.end(q, Outcome::error);
   EXPECT_EQ(f.tries(q), 1u);
   EXPECT_EQ(f.finals[q], 0);
@@ -36,10 +36,10 @@
 
 TEST(RuleNoneLost, AQueryWithLittleTimeLeftDoesNotWaitForProbes) {
   auto s = make_settings();
-  s.fronts = 2;
+  s.manager_count = 2;
   s.may_probe = true;
-  s.reports = ReportSource::probes;
-  s.report_fields = {ReportField::inflight};
+  s.load_report_source = LoadReportSource::probes;
+  s.load_report_fields = {LoadReportField::inflight};
   Front f(s);
   f.pass(10ms);  // between two ticks
   const auto q = f.arrive(1, 5ms);
@@ -50,7 +50,7 @@
 
 TEST(RuleNoDoubleEffect, UnsafeIsTriedAgainOnlyWhenItNeverRan) {
   auto c = make_class();
-  c.repeatable = Repeatable::never;
+  c.idempotency = Idempotency::non_idempotent;
   Front f(make_settings({c}));
   const auto q = f.arrive(1);
   f.end(q, Outcome::unreachable);
@@ -62,8 +62,8 @@
 
 TEST(RuleNoDoubleEffect, KeyedStaysWithItsGroup) {
   auto c = make_class();
-  c.repeatable = Repeatable::keyed;
-  c.repeat_group = RepeatGroup::cell;
+  c.idempotency = Idempotency::keyed;
+  c.deduplication_scope = DeduplicationScope::cell;
   auto a = engine("a"), b = engine("b"), d = engine("d");
   a.cell = d.cell = CellId{1};
   b.cell = CellId{2};
@@ -80,8 +80,8 @@
 
 TEST(RuleNoDoubleEffect, KeyedStaysWithItsZone) {
   auto c = make_class();
-  c.repeatable = Repeatable::keyed;
-  c.repeat_group = RepeatGroup::zone;
+  c.idempotency = Idempotency::keyed;
+  c.deduplication_scope = DeduplicationScope::zone;
   auto a = engine("a"), b = engine("b");
   b.zone = ZoneId{1};
   auto s = make_settings({c});
@@ -95,7 +95,7 @@
 
 TEST(RuleNoDoubleEffect, KeyedIsNotSentOnceForgotten) {
   auto c = make_class(10s, 20s);
-  c.repeatable = Repeatable::keyed;
+  c.idempotency = Idempotency::keyed;
   Front f(make_settings({c}));
   const auto q = f.arrive(1, 20s);
   f.pass(3100ms);
@@ -124,7 +124,7 @@
 
 TEST(RuleDrains, AnEngineMissingFromAFullListIsGone) {
   Front f(make_settings());
-  f.list({engine("b")}, ListKind::full);
+  f.list({engine("b")}, EngineListKind::full);
   for (std::uint64_t id = 1; id <= 20; ++id) {
     for (const auto& where : f.sends[f.arrive(id)]) EXPECT_EQ(where, "b");
   }
@@ -132,21 +132,21 @@
 
 TEST(RuleDrains, AnEmptyListHoldsAndALaterOneServes) {
   Front f(make_settings());
-  f.list({}, ListKind::full);
+  f.list({}, EngineListKind::full);
   const auto q = f.arrive(1);
   EXPECT_EQ(f.tries(q), 0u);
   EXPECT_EQ(f.finals[q], 0);
-  f.list({engine("b")}, ListKind::full);
+  f.list({engine("b")}, EngineListKind::full);
   EXPECT_EQ(f.tries(q), 1u);
 }
 
 Settings cold_settings() {
   auto s = make_settings({make_class(2s, 10s)});
   s.kinds = {{4, 0}};
-  s.start_capacity = 0.25;
-  s.cold = 10s;
-  s.tip_multiple = 2;
-  s.tip_after = 1s;
+  s.slow_start_initial_ratio = 0.25;
+  s.slow_start_window = 10s;
+  s.cold_overload_multiple = 2;
+  s.cold_overload_window = 1s;
   return s;
 }
 
@@ -154,7 +154,7 @@
   const auto s = cold_settings();
   auto a = engine("a");
   Front f(s, {});
-  a.started = f.now;
+  a.start_time = f.now;
   f.list({a});
   for (std::uint64_t id = 1; id <= 200; ++id) {  // one second of short queries, all answered at once
     f.arrive(id, 10s, 100ms);
@@ -172,13 +172,13 @@
 
 TEST(RuleCold, ManyFrontsFillItTogetherAndDoNotToppleIt) {
   auto s = cold_settings();
-  s.fronts = 200;
+  s.manager_count = 200;
   s.kinds = {{16, 0}};
   auto a = engine("a");
   std::vector<std::unique_ptr<Front>> fronts;
-  for (std::uint64_t i = 0; i < s.fronts; ++i) {
+  for (std::uint64_t i = 0; i < s.manager_count; ++i) {
     fronts.push_back(std::make_unique<Front>(s, std::vector<EngineEntry>{}, i + 1));
-    a.started = fronts[i]->now;
+    a.start_time = fronts[i]->now;
     fronts[i]->list({a});
   }
   std::vector<std::size_t> by_tick;  // sends of all fronts together
@@ -207,10 +207,10 @@
 // Seen on the days at size: time taken on crowded engines was counted as work, and new ones stayed empty.
 TEST(RuleCold, WhereAnswersTellTheWorkTheRationGoesByItAndNotByTheTimeTaken) {
   auto s = cold_settings();
-  s.classes[0].aim = s.classes[0].deadline = 60s;
-  s.fronts = 5;
+  s.classes[0].latency_objective = s.classes[0].deadline = 60s;
+  s.manager_count = 5;
   s.kinds = {{16, 0}};
-  s.tells_cost = true;
+  s.reports_cost = true;
   const auto sent_after = [&](Duration took) {
     Front f(s, {engine("a")});
     std::uint64_t id = 1;
@@ -218,10 +218,10 @@
       const auto q = f.arrive(id, 60s, 100ms);
       f.pass(took);
       if (f.tries(q) > 0)
-        f.feed(AttemptEnded{q, AttemptNo{0}, {"a"}, Outcome::served, took, true, {}, 100ms, 64});
+        f.feed(AttemptEnded{q, AttemptNumber{0}, {"a"}, Outcome::served, took, true, {}, 100ms, 64});
     }
     auto cold = engine("b");
-    cold.started = f.now;
+    cold.start_time = f.now;
     f.list({engine("a", EngineState::draining), cold});
     f.order.clear();
     std::size_t sent = 0;
@@ -231,7 +231,7 @@
       while (!f.order.empty()) {
         const auto q = f.order.back();
         f.order.pop_back();
-        f.feed(AttemptEnded{q, AttemptNo{0}, {"b"}, Outcome::served, took, true, {}, 100ms, 64});
+        f.feed(AttemptEnded{q, AttemptNumber{0}, {"b"}, Outcome::served, took, true, {}, 100ms, 64});
         ++sent;
       }
     }
@@ -246,7 +246,7 @@
   const auto s = cold_settings();
   Front f(s, {engine("a")});
   auto again = engine("a");
-  again.started = f.now;
+  again.start_time = f.now;
   f.list({again});
   std::size_t sent = 0;
   for (std::uint64_t id = 1; id <= 100; ++id) {
@@ -258,7 +258,7 @@
 
 TEST(RuleOrder, OneAtATimeInOrderAndAfterAPause) {
   auto c = make_class(4s, 8s);
-  c.in_order = true;
+  c.ordered = true;
   auto s = make_settings({c});
   s.order_pause = 500ms;
   Front f(s);
@@ -266,7 +266,7 @@
   const auto p = f.arrive(1, 8s, 100ms, 0, key), q = f.arrive(2, 3s, 100ms, 0, key);
   EXPECT_EQ(f.tries(p), 1u);
   EXPECT_EQ(f.tries(q), 0u);
-  f.feed(ClientLeft{p});  // finished, but its attempt may still run
+  f.feed(ClientDisconnected{p});  // finished, but its attempt may still run
   f.pass(100ms);
   EXPECT_EQ(f.tries(q), 0u);
   f.end(p, Outcome::timed_out);
@@ -279,8 +279,8 @@
 
 TEST(RulePlacement, BoundClassesStayInTheirZonesAndKinds) {
   auto zone = make_class(), kind = make_class();
-  zone.only_zones = {ZoneId{1}};
-  kind.only_kinds = {KindId{1}};
+  zone.allowed_zones = {ZoneId{1}};
+  kind.allowed_kinds = {KindId{1}};
   auto s = make_settings({zone, kind});
   s.zones = 2;
   s.kinds = {{4, 0}, {4, 0}};
@@ -301,10 +301,10 @@
 
 TEST(RuleBudget, FurtherAttemptsStayWithinTheRation) {
   auto s = make_settings();
-  s.extra_limited = true;
-  s.extra_free = 2;
-  s.extra_ratio = 0.1;
-  s.extra_span = 5s;
+  s.retry_budget_enabled = true;
+  s.retry_budget_min_retries = 2;
+  s.retry_budget_ratio = 0.1;
+  s.retry_budget_window = 5s;
   std::vector<EngineEntry> engines;
   for (int i = 0; i < 10; ++i) engines.push_back(engine("e" + std::to_string(i)));
   Front f(s, engines);
@@ -331,7 +331,7 @@
   c.streamed = true;
   Front f(make_settings({c}));
   const auto q = f.arrive(1);
-  f.feed(AnswerStarted{q, AttemptNo{0}, {f.sends[q].front()}});
+  f.feed(ResponseStarted{q, AttemptNumber{0}, {f.sends[q].front()}});
   f.pass(8s);
   EXPECT_EQ(f.tries(q), 1u);
   EXPECT_EQ(f.finals[q], 0);
@@ -339,22 +339,22 @@
 
 TEST(Discovery, OnRequestIsFollowedAndAFailureAskedAgain) {
   auto s = make_settings();
-  s.list_source = ListSource::on_request;
+  s.engine_list_source = EngineListSource::on_request;
   Front f(s, {});
   EXPECT_EQ(f.follows, 1);
-  f.feed(EngineList{ListKind::failed, {}});
+  f.feed(EngineList{EngineListKind::failed, {}});
   f.pass(1s);
   EXPECT_EQ(f.follows, 2);
 }
 
 TEST(Refusal, TellsWhenToComeBack) {
   auto s = make_settings();
-  s.may_advise_wait = true;
-  s.most_wait_advice = 2s;
+  s.may_send_retry_after = true;
+  s.max_retry_after = 2s;
   Front f(s);
   f.arrive(1, 5s, 60s);
   EXPECT_EQ(f.advice, 2s);
 }
 
 }  // namespace
-}  // namespace lynxstand::testing
+}  // namespace yokestream::policy::testing
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -11,7 +11,7 @@
 
 #include "bench.h"
 
-namespace lynxstand::testing {
+namespace yokestream::policy::testing {
 namespace {
 
 constexpr double kFullUse = 0.85;  // core use that the capacity of an engine means
@@ -45,16 +45,16 @@
       : terms_(terms), play_(play), draw_(seed) {
     Settings s = make_settings({make_class(30s, 60s)});
     s.kinds = {{terms.cores, 0}};
-    s.start_capacity = terms.start_capacity;
-    s.cold = terms.cold;
-    s.tip_multiple = terms.tip_multiple;
-    s.tip_after = terms.window;
-    s.fronts = static_cast<std::uint32_t>(play.managers);
-    s.tells_cost = true;
+    s.slow_start_initial_ratio = terms.start_capacity;
+    s.slow_start_window = terms.cold;
+    s.cold_overload_multiple = terms.tip_multiple;
+    s.cold_overload_window = terms.window;
+    s.manager_count = static_cast<std::uint32_t>(play.managers);
+    s.reports_cost = true;
     for (std::size_t i = 0; i < play.managers * play.processes; ++i) {
       fronts_.push_back(std::make_unique<Front>(s, std::vector<EngineEntry>{}, seed * 1000 + i));
       if (play.processes > 1)
-        fronts_.back()->controller().count_fronts(static_cast<double>(play.managers * play.processes));
+        fronts_.back()->controller().set_manager_count(static_cast<double>(play.managers * play.processes));
     }
     start_ = fronts_.front()->now;
   }
@@ -79,7 +79,7 @@
   }
   void tell(std::size_t from, std::size_t until) {
     EngineEntry entry = engine("cold");
-    entry.started = start_;
+    entry.start_time = start_;
     for (std::size_t i = from; i < until; ++i) fronts_[i]->list({entry});
   }
   double uniform() { return std::uniform_real_distribution<double>(0, 1)(draw_); }
@@ -105,7 +105,7 @@
       front.order.pop_back();
       const double own = works_.at(static_cast<std::size_t>(query) - 1);
       const auto took = Duration(static_cast<Duration::rep>(own * 1e9));
-      front.feed(AttemptEnded{query, AttemptNo{0}, {"cold"}, Outcome::served, took, true, {}, took, 0});
+      front.feed(AttemptEnded{query, AttemptNumber{0}, {"cold"}, Outcome::served, took, true, {}, took, 0});
       note(own);
     }
   }
@@ -176,4 +176,4 @@
 TEST(SlowStart, SomeHearOfItLate) { check({30, 1, 0.4}, 6, 0.3); }
 
 }  // namespace
-}  // namespace lynxstand::testing
+}  // namespace yokestream::policy::testing
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-namespace lynxstand::wire {
+namespace yokestream::simulator_adapter {
 namespace {
 
 using namespace std::chrono_literals;
@@ -11,32 +11,32 @@
   const Line line(3,
                   "demand\tI=3\tTicket=15\tTableGroup=11\tRelation=77\tRamMb=384.5\tType=1\tProject=2\t"
                   "Expected=12000000\tRemaining=240000000\tRepeat=1\tNew=unheard");
-  const auto q = std::get<QueryArrived>(decode_event(line));
-  EXPECT_EQ(q.query, QueryId{15});
-  EXPECT_EQ(q.cls, ClassId{1});
-  EXPECT_EQ(q.tenant, TenantId{2});
-  EXPECT_EQ(q.tables, TableGroupId{11});
-  EXPECT_EQ(q.order_key, OrderKey{77});
+  const auto q = std::get<policy::QueryArrived>(decode_event(line));
+  EXPECT_EQ(q.query, policy::QueryId{15});
+  EXPECT_EQ(q.query_class, policy::ClassId{1});
+  EXPECT_EQ(q.tenant, policy::TenantId{2});
+  EXPECT_EQ(q.table_group, policy::TableGroupId{11});
+  EXPECT_EQ(q.order_key, policy::OrderKey{77});
   EXPECT_DOUBLE_EQ(q.memory_mb, 384.5);
   EXPECT_EQ(q.work, 12ms);
   EXPECT_EQ(q.time_left, 240ms);
-  EXPECT_TRUE(q.repeat);
+  EXPECT_TRUE(q.is_retry);
 }
 
 TEST(Decode, AnOutcomeWithItsReport) {
   const Line line(
       1, "attempt_end\tI=3\tTicket=1\tTrial=2\tEngine=e\tCode=dial_failed\tTimeTaken=5\tHealthInfo=0.5,7");
-  const auto e = std::get<AttemptEnded>(decode_event(line));
-  EXPECT_EQ(e.outcome, Outcome::unreachable);
-  EXPECT_EQ(e.attempt, AttemptNo{2});
-  EXPECT_FALSE(e.finished);
-  EXPECT_EQ(e.report, (std::vector<double>{0.5, 7}));
+  const auto e = std::get<policy::AttemptEnded>(decode_event(line));
+  EXPECT_EQ(e.outcome, policy::Outcome::unreachable);
+  EXPECT_EQ(e.attempt, policy::AttemptNumber{2});
+  EXPECT_FALSE(e.query_finished);
+  EXPECT_EQ(e.load_report, (std::vector<double>{0.5, 7}));
 }
 
 TEST(Decode, TheCostThatAnAnswerTells) {
   const Line line(1,
                   "attempt_end\tI=3\tTicket=1\tTrial=0\tEngine=e\tCode=delivered\tTimeTaken=5\tStats=69728");
-  const auto e = std::get<AttemptEnded>(decode_event(line));
+  const auto e = std::get<policy::AttemptEnded>(decode_event(line));
   EXPECT_EQ(e.work, 17ms);
   EXPECT_DOUBLE_EQ(e.memory_mb, 4 * 96);
 }
@@ -50,15 +50,16 @@
       "Safety.RatioSpan=9\tSafety.MinExtra=5.0\tFamilyInfo.OutOfMemory=swap\tReport.Fields=queue,zz");
   const Settings s = decode_settings(line);
   ASSERT_EQ(s.classes.size(), 1u);
-  EXPECT_EQ(s.classes[0].repeatable, Repeatable::never);
-  EXPECT_TRUE(s.classes[0].in_order);
-  EXPECT_EQ(s.classes[0].only_zones, (std::vector<ZoneId>{ZoneId{0}, ZoneId{2}}));
+  EXPECT_EQ(s.classes[0].idempotency, policy::Idempotency::non_idempotent);
+  EXPECT_TRUE(s.classes[0].ordered);
+  EXPECT_EQ(s.classes[0].allowed_zones, (std::vector<policy::ZoneId>{policy::ZoneId{0}, policy::ZoneId{2}}));
   EXPECT_DOUBLE_EQ(s.classes[0].threads, 3);
   ASSERT_EQ(s.kinds.size(), 2u);
   EXPECT_DOUBLE_EQ(s.kinds[1].cores, 12);
-  EXPECT_TRUE(s.extra_limited);
-  EXPECT_EQ(s.memory_short, MemoryShort::page);
-  EXPECT_EQ(s.report_fields, (std::vector<ReportField>{ReportField::queue, ReportField::other}));
+  EXPECT_TRUE(s.retry_budget_enabled);
+  EXPECT_EQ(s.memory_shortage, policy::MemoryShortage::page);
+  EXPECT_EQ(s.load_report_fields, (std::vector<policy::LoadReportField>{policy::LoadReportField::queue,
+                                                                        policy::LoadReportField::other}));
 }
 
 void expect_problem(const std::string& text, const std::string& field) {
@@ -101,17 +102,20 @@
     encode(a, 3, out);
     return out;
   };
-  EXPECT_EQ(text(Send{QueryId{5}, {"e"}, 80ms}), "try\tI=3\tTicket=5\tEngine=e\tMaxWait=80000000\n");
-  EXPECT_EQ(text(Send{QueryId{5}, {"e"}, {}}), "try\tI=3\tTicket=5\tEngine=e\n");
-  EXPECT_EQ(text(Cancel{QueryId{5}, AttemptNo{1}}), "recall\tI=3\tTicket=5\tTrial=1\n");
-  EXPECT_EQ(text(Refuse{QueryId{5}, 1us}), "turn_away\tI=3\tTicket=5\tStayAway=1000\n");
-  EXPECT_EQ(text(Fail{QueryId{5}}), "drop_request\tI=3\tTicket=5\n");
-  EXPECT_EQ(text(SetTerms{QueryId{5}, 640, 2}), "equip\tI=3\tTicket=5\tMemory=640.000\tWeightClass=2\n");
-  EXPECT_EQ(text(Probe{{"e"}}), "sample\tI=3\tEngine=e\n");
-  EXPECT_EQ(text(TellPeers{"hi 7"}), "memo_to\tI=3\tTarget=-1\tPayload=aGkgNw==\n");
-  EXPECT_EQ(text(FollowList{}), "listen\tI=3\tOn=1\n");
-  EXPECT_EQ(text(FetchList{}), "snapshot\tI=3\n");
-  EXPECT_EQ(text(WakeAfter{1us, 77}), "schedule\tI=3\tWait=1000\tToken=77\n");
+  EXPECT_EQ(text(policy::Send{policy::QueryId{5}, {"e"}, 80ms}),
+            "try\tI=3\tTicket=5\tEngine=e\tMaxWait=80000000\n");
+  EXPECT_EQ(text(policy::Send{policy::QueryId{5}, {"e"}, {}}), "try\tI=3\tTicket=5\tEngine=e\n");
+  EXPECT_EQ(text(policy::Cancel{policy::QueryId{5}, policy::AttemptNumber{1}}),
+            "recall\tI=3\tTicket=5\tTrial=1\n");
+  EXPECT_EQ(text(policy::Reject{policy::QueryId{5}, 1us}), "turn_away\tI=3\tTicket=5\tStayAway=1000\n");
+  EXPECT_EQ(text(policy::Fail{policy::QueryId{5}}), "drop_request\tI=3\tTicket=5\n");
+  EXPECT_EQ(text(policy::SetExecutionTerms{policy::QueryId{5}, 640, 2}),
+            "equip\tI=3\tTicket=5\tMemory=640.000\tWeightClass=2\n");
+  EXPECT_EQ(text(policy::Probe{{"e"}}), "sample\tI=3\tEngine=e\n");
+  EXPECT_EQ(text(policy::BroadcastToPeers{"hi 7"}), "memo_to\tI=3\tTarget=-1\tPayload=aGkgNw==\n");
+  EXPECT_EQ(text(policy::WatchEngineList{}), "listen\tI=3\tOn=1\n");
+  EXPECT_EQ(text(policy::FetchEngineList{}), "snapshot\tI=3\n");
+  EXPECT_EQ(text(policy::StartTimer{1us, 77}), "schedule\tI=3\tWait=1000\tToken=77\n");
 }
 
 TEST(Base64, ThereAndBack) {
@@ -122,4 +126,4 @@
 }
 
 }  // namespace
-}  // namespace lynxstand::wire
+}  // namespace yokestream::simulator_adapter
