--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -18,51 +18,52 @@
 // The store, as one command meets it: every address is tried.
 class Desk {
  public:
-  explicit Desk(const config::Config& config) : config_(config), names_(config.fleet.prefix) {
+  explicit Desk(const config::Config& config) : config_(config), names_(config.fleet.key_prefix) {
     if (!config.fleet.on) throw config::ConfigError("fleet.on", "the fleet shares no store");
   }
-  const coordination::Names& names() const { return names_; }
+  const coordination::StoreKeys& names() const { return names_; }
 
-  store::Done ask(const store::Request& request) {
+  store::Completed ask(const store::Request& request) {
     std::string why;
-    for (const auto& address : config_.fleet.store) {
+    for (const auto& address : config_.fleet.store_endpoints) {
       store::Client client({address}, 0, std::chrono::milliseconds(1));
-      const auto reply = client.ask(request, net::now() + kAskWithin);
-      if (const auto* done = std::get_if<store::Done>(&reply)) return *done;
+      const auto reply = client.call(request, net::now() + kAskWithin);
+      if (const auto* done = std::get_if<store::Completed>(&reply)) return *done;
       const auto* failed = std::get_if<store::Failed>(&reply);
-      why = to_string(address) + ": " + (failed ? failed->why : std::get<store::Unknown>(reply).why);
+      why =
+          to_string(address) + ": " + (failed ? failed->cause : std::get<store::OutcomeUnknown>(reply).cause);
     }
     throw config::ConfigError("fleet.store", why);
   }
   std::map<std::string, std::string> all(const std::string& prefix) {
     std::map<std::string, std::string> out;
-    const auto done = ask(store::Range{prefix, store::after_prefix(prefix), 0});
-    for (const auto& kv : done.ranges.empty() ? std::vector<store::KeyValue>{} : done.ranges[0].all)
+    const auto done = ask(store::Range{prefix, store::prefix_range_end(prefix), 0});
+    for (const auto& kv : done.ranges.empty() ? std::vector<store::KeyValue>{} : done.ranges[0].key_values)
       out[kv.key.substr(prefix.size())] = kv.value;
     return out;
   }
   // Written once, however often the command is given: one whose answer was lost is found there, as long as
   // the owner has not answered it.
   bool put_new(const std::string& what, const std::string& text) {
-    const std::string key = names_.asks() + what;
-    const auto done = ask(store::Txn{{{store::Compare::What::create, key, 0, {}}},
+    const std::string key = names_.staff_requests() + what;
+    const auto done = ask(store::Txn{{{store::Compare::Target::create_revision, key, 0, {}}},
                                      {store::Put{key, text, store::LeaseId::none}},
                                      {store::Range{key, {}, 0}}});
-    return done.succeeded ||
-           (!done.ranges.empty() && !done.ranges[0].all.empty() && done.ranges[0].all[0].value == text);
+    return done.succeeded || (!done.ranges.empty() && !done.ranges[0].key_values.empty() &&
+                              done.ranges[0].key_values[0].value == text);
   }
-  migration::Record record() {
-    const std::string key = names_.state(migration::Mover::kName);
+  migration::MigrationRecord record() {
+    const std::string key = names_.task_state(migration::MigrationTask::kName);
     const auto done = ask(store::Range{key, {}, 0});
-    if (done.ranges.empty() || done.ranges[0].all.empty()) return {};
-    auto record = migration::decode_record(done.ranges[0].all[0].value);
+    if (done.ranges.empty() || done.ranges[0].key_values.empty()) return {};
+    auto record = migration::decode_record(done.ranges[0].key_values[0].value);
     if (!record) throw config::ConfigError(key, "it can't be read");
     return *record;
   }
 
  private:
   const config::Config& config_;
-  const coordination::Names names_;
+  const coordination::StoreKeys names_;
 };
 
 int propose(const Files& files, const std::string& path) {
@@ -73,7 +74,7 @@
   std::vector<config::Member> engines;
   for (const auto& event : both.config.known)
     engines.insert(engines.end(), event.members.begin(), event.members.end());
-  if (plan) migration::check_against(*plan, both.config.fleet.areas, engines, problems);
+  if (plan) migration::check_against(*plan, both.config.fleet.movable_areas, engines, problems);
   if (!problems.empty()) {
     std::string all = path + ":";
     for (const auto& problem : problems) all += "\n  " + problem;
@@ -81,7 +82,8 @@
     return 1;
   }
   Desk desk(both.config);
-  if (!desk.put_new(migration::kPlanAsked + plan->name, base::write_json(migration::to_json(*plan)))) {
+  if (!desk.put_new(migration::kPlanRequestPrefix + plan->name,
+                    base::write_json(migration::to_json(*plan)))) {
     std::cerr << "another plan " << plan->name << " waits for an owner's answer" << std::endl;
     return 1;
   }
@@ -99,7 +101,7 @@
     std::cerr << "no plan " << name << " is under way" << std::endl;
     return 1;
   }
-  if (!desk.put_new(migration::kWishAsked + name, word)) {
+  if (!desk.put_new(migration::kControlRequestPrefix + name, word)) {
     std::cerr << "another wish for " << name << " waits for an owner's answer" << std::endl;
     return 1;
   }
@@ -110,11 +112,11 @@
 int tell_status(const Files& files) {
   const auto both = operator_file::read_both(files.config, files.operators);
   Desk desk(both.config);
-  std::map<std::string, coordination::Fact> living;
-  for (const auto& [session, text] : desk.all(desk.names().alive()))
-    living[session] = coordination::decode_fact(text).value_or(coordination::Fact{});
-  std::cout << migration::status(desk.record(), living, migration::Mover::kName,
-                                 desk.all(desk.names().asks()))
+  std::map<std::string, coordination::MemberRecord> living;
+  for (const auto& [session, text] : desk.all(desk.names().member()))
+    living[session] = coordination::decode_member_record(text).value_or(coordination::MemberRecord{});
+  std::cout << migration::status(desk.record(), living, migration::MigrationTask::kName,
+                                 desk.all(desk.names().staff_requests()))
             << std::flush;
   return 0;
 }
--- a/src/coordination/duty.h
+++ b/src/coordination/duty.h
@@ -17,29 +17,29 @@
 namespace yokestream::coordination {
 
 // What the owner sees when it looks at the fleet.
-struct Looked {
+struct FleetSnapshot {
   Time now{};
-  std::map<std::string, Fact> living;        // by session
-  std::map<std::string, std::string> asked;  // what staff asked for, by name (names.h)
-  store::Revision term = 0;
+  std::map<std::string, MemberRecord> members;        // by session
+  std::map<std::string, std::string> staff_requests;  // what staff asked for, by name (names.h)
+  store::Revision fencing_token = 0;
 };
 
-class Duty {
+class LeaderTask {
  public:
   struct Draft {
     std::string state;
-    std::vector<std::string> answered;  // of what was asked: gone with this write
+    std::vector<std::string> answered_requests;  // of what was asked: gone with this write
   };
 
-  virtual ~Duty() = default;
+  virtual ~LeaderTask() = default;
   virtual std::string name() const = 0;
   // The state as it stands now, empty: there is none; and this process's session, empty: it has none. False:
   // it makes no sense, and nothing is written over it.
-  virtual bool see(std::string_view state, const std::string& session) = 0;
+  virtual bool observe(std::string_view state, const std::string& session) = 0;
   // At the owner: what is to stand there next; nullopt: all stays.
-  virtual std::optional<Draft> next(const Looked& looked) = 0;
+  virtual std::optional<Draft> next_draft(const FleetSnapshot& looked) = 0;
   // Whether it waits for something, so that the owner looks again soon.
-  virtual bool busy() const = 0;
+  virtual bool has_pending_work() const = 0;
 };
 
 }  // namespace yokestream::coordination
--- a/src/coordination/election.h
+++ b/src/coordination/election.h
@@ -16,38 +16,40 @@
 
 namespace yokestream::coordination {
 
-class Election {
+class LeaderElection {
  public:
   // `line`: the prefix of the candidates' keys; `beat`: the key that the owner writes as it goes on.
-  Election(const Settings& settings, std::string line, std::string beat)
+  LeaderElection(const Settings& settings, std::string line, std::string beat)
       : settings_(settings), line_(std::move(line)), beat_(std::move(beat)) {}
 
   // Candidate under this lease from now on; another lease than before: what was held is lost.
-  void stand(store::LeaseId lease, const std::string& name);
-  void step_down();  // gives up its place, by next()
-  std::optional<store::Request> next(Time now) const;
-  void asked() { out_ = true; }
-  void replied(Time now, const store::Reply& reply);
-  Time due() const;
+  void campaign(store::LeaseId lease, const std::string& name);
+  void resign();  // gives up its place, by next()
+  std::optional<store::Request> next_request(Time now) const;
+  void on_request_sent() { out_ = true; }
+  void on_reply(Time now, const store::Reply& reply);
+  Time next_due() const;
 
   // The key ahead, from which revision on it is to be watched; nullopt: there is nobody to wait for.
-  std::optional<store::Watch> ahead() const;
-  void ahead_gone() { look_ = true; }        // or its watch was cut, or nothing is known of it any more
-  void lost() { place_ = 0, look_ = true; }  // a write of this term was refused
+  std::optional<store::WatchRequest> predecessor_watch() const;
+  void on_predecessor_gone() { look_ = true; }  // or its watch was cut, or nothing is known of it any more
+  void on_leadership_lost() { place_ = 0, look_ = true; }  // a write of this term was refused
 
-  bool owner() const { return place_ > 0 && ahead_.empty() && !look_ && !leaving_; }
-  bool out_of_line() const { return place_ == 0 && !unsure_; }
-  store::Revision term() const { return place_; }
+  bool is_leader() const { return place_ > 0 && ahead_.empty() && !look_ && !leaving_; }
+  bool has_resigned() const { return place_ == 0 && !unsure_; }
+  store::Revision fencing_token() const { return place_; }
   // All that it knows, but for times, as one text: two that say the same go on alike. For searches.
   std::string digest() const;
-  store::Compare guard() const { return {store::Compare::What::create, own_, place_, {}}; }
+  store::Compare leadership_guard() const {
+    return {store::Compare::Target::create_revision, own_, place_, {}};
+  }
 
  private:
   enum class Asked { enter, read_line, leave, read_beat, depose };
-  bool idle() const { return beat_read_ >= beat_since_ + settings_.progress; }
+  bool idle() const { return beat_read_ >= beat_since_ + settings_.progress_timeout; }
   Asked asking() const;
-  void read_line(Time now, const store::Done& done);
-  void read_beat(Time now, const store::Done& done);
+  void read_line(Time now, const store::Completed& done);
+  void read_beat(Time now, const store::Completed& done);
 
   const Settings& settings_;
   const std::string line_, beat_;
--- a/src/coordination/names.h
+++ b/src/coordination/names.h
@@ -22,34 +22,34 @@
 namespace yokestream::coordination {
 
 inline constexpr std::string_view kFormat = "1";
-inline constexpr std::size_t kMostFact = 4096;
-inline constexpr std::size_t kMostProcesses = 1024;  // of one fleet
+inline constexpr std::size_t kMaxMemberRecordBytes = 4096;
+inline constexpr std::size_t kMaxMembers = 1024;  // of one fleet
 
 // A session as keys and records name it: 16 hex digits.
 std::string session_name(store::LeaseId lease);
 
-struct Names {
-  explicit Names(const std::string& prefix) : root(prefix + "/") {}
+struct StoreKeys {
+  explicit StoreKeys(const std::string& prefix) : root(prefix + "/") {}
   std::string format() const { return root + "format"; }
-  std::string alive() const { return root + "alive/"; }
-  std::string alive(store::LeaseId lease) const { return alive() + session_name(lease); }
-  std::string line(const std::string& duty) const { return root + "duty/" + duty + "/line/"; }
-  std::string beat(const std::string& duty) const { return root + "duty/" + duty + "/beat"; }
-  std::string states() const { return root + "state/"; }
-  std::string state(const std::string& duty) const { return states() + duty; }
-  std::string asks() const { return root + "ask/"; }
+  std::string member() const { return root + "alive/"; }
+  std::string member(store::LeaseId lease) const { return member() + session_name(lease); }
+  std::string candidates(const std::string& duty) const { return root + "duty/" + duty + "/line/"; }
+  std::string leader_progress(const std::string& duty) const { return root + "duty/" + duty + "/beat"; }
+  std::string task_states() const { return root + "state/"; }
+  std::string task_state(const std::string& duty) const { return task_states() + duty; }
+  std::string staff_requests() const { return root + "ask/"; }
   std::string root;
 };
 
-struct Fact {
-  std::string name, version;                 // the manager's, the program's
-  double traffic = 0;                        // requests a second, smoothed
-  std::map<std::string, std::int64_t> seen;  // by duty: the epoch that it acts on (S3)
+struct MemberRecord {
+  std::string name, version;                                // the manager's, the program's
+  double requests_per_s = 0;                                // requests a second, smoothed
+  std::map<std::string, std::int64_t> acknowledged_epochs;  // by duty: the epoch that it acts on (S3)
   // Outcomes on the two sides of what moves, by plan, counted since the session began (migration/tally.h).
   std::map<std::string, std::vector<std::int64_t>> tallies;
-  bool operator==(const Fact&) const = default;
+  bool operator==(const MemberRecord&) const = default;
 };
-std::string encode(const Fact& fact);
-std::optional<Fact> decode_fact(std::string_view text);  // nullopt: it makes no sense
+std::string encode(const MemberRecord& fact);
+std::optional<MemberRecord> decode_member_record(std::string_view text);  // nullopt: it makes no sense
 
 }  // namespace yokestream::coordination
--- a/src/coordination/records.cpp
+++ b/src/coordination/records.cpp
@@ -57,21 +57,21 @@
   return text;
 }
 
-std::string encode(const Fact& fact) {
+std::string encode(const MemberRecord& fact) {
   Json::Value out;
   out["form"] = 1;
   out["name"] = fact.name.substr(0, kMostName);
   out["version"] = fact.version.substr(0, kMostName);
-  out["traffic"] = fact.traffic;
-  out["seen"] = to_json(fact.seen);
+  out["traffic"] = fact.requests_per_s;
+  out["seen"] = to_json(fact.acknowledged_epochs);
   for (const auto& [plan, tally] : fact.tallies)
     for (const auto n : tally) out["tallies"][plan].append(Json::Int64(n));
   return base::write_json(out);
 }
 
-std::optional<Fact> decode_fact(std::string_view text) {
+std::optional<MemberRecord> decode_member_record(std::string_view text) {
   constexpr std::size_t kMostDuties = 16;
-  const auto v = parse(text, kMostFact);
+  const auto v = parse(text, kMaxMemberRecordBytes);
   if (!v || !is_name((*v)["name"]) || !is_name((*v)["version"]) || !(*v)["traffic"].isNumeric())
     return std::nullopt;
   const auto seen = numbers((*v)["seen"], kMostDuties);
@@ -79,26 +79,26 @@
   if (!seen || !std::isfinite(traffic) || traffic < 0) return std::nullopt;
   const auto tallies = tallies_of((*v)["tallies"]);
   if (!tallies) return std::nullopt;
-  return Fact{(*v)["name"].asString(), (*v)["version"].asString(), traffic, *seen, *tallies};
+  return MemberRecord{(*v)["name"].asString(), (*v)["version"].asString(), traffic, *seen, *tallies};
 }
 
-std::string encode(const Table& table) {
+std::string encode(const LoadShareTable& table) {
   Json::Value out;
   out["form"] = 1;
   out["epoch"] = Json::Int64(table.epoch);
-  out["term"] = Json::Int64(table.term);
-  out["parts"] = to_json(table.parts);
+  out["term"] = Json::Int64(table.fencing_token);
+  out["parts"] = to_json(table.shares);
   return base::write_json(out);
 }
 
-std::optional<Table> decode_table(std::string_view text) {
-  const auto v = parse(text, store::kMostValue);
+std::optional<LoadShareTable> decode_load_share_table(std::string_view text) {
+  const auto v = parse(text, store::kMaxValueBytes);
   if (!v || !(*v)["epoch"].isInt64() || !(*v)["term"].isInt64()) return std::nullopt;
-  auto parts = numbers((*v)["parts"], kMostProcesses);
+  auto parts = numbers((*v)["parts"], kMaxMembers);
   if (!parts || (*v)["epoch"].asInt64() < 0) return std::nullopt;
   for (const auto& [session, part] : *parts)
-    if (part > kWhole) return std::nullopt;
-  return Table{(*v)["epoch"].asInt64(), (*v)["term"].asInt64(), std::move(*parts)};
+    if (part > kFullLoad) return std::nullopt;
+  return LoadShareTable{(*v)["epoch"].asInt64(), (*v)["term"].asInt64(), std::move(*parts)};
 }
 
 }  // namespace yokestream::coordination
--- a/src/coordination/session.cpp
+++ b/src/coordination/session.cpp
@@ -9,25 +9,25 @@
 
 }  // namespace
 
-Time Session::due() const {
+Time StoreSession::next_due() const {
   if (out_) return Time::max();
   return lease_ == store::LeaseId::none ? again_ : std::max(again_, sent_ + renew_after());
 }
 
-std::optional<store::Request> Session::next(Time now) const {
-  if (now < due()) return std::nullopt;
-  if (lease_ != store::LeaseId::none) return store::KeepAlive{lease_};
-  return store::Grant{whole_seconds(settings_.lease) / std::chrono::seconds(1)};
+std::optional<store::Request> StoreSession::next_request(Time now) const {
+  if (now < next_due()) return std::nullopt;
+  if (lease_ != store::LeaseId::none) return store::KeepLeaseAlive{lease_};
+  return store::GrantLease{whole_seconds(settings_.lease_duration) / std::chrono::seconds(1)};
 }
 
 // An answer that comes late counts from when it was asked for: it may say that the lease lives while this
 // clock has already stopped counting on it. A grant whose reply was lost leaves a lease that holds nothing
 // and ends by itself.
-void Session::replied(Time now, const store::Reply& reply) {
+void StoreSession::on_reply(Time now, const store::Reply& reply) {
   out_ = false;
-  const auto* done = std::get_if<store::Done>(&reply);
+  const auto* done = std::get_if<store::Completed>(&reply);
   if (!done) {
-    again_ = now + kAgain;
+    again_ = now + kRetryPause;
     return;
   }
   again_ = Time::min();
@@ -36,8 +36,9 @@
     return;
   }
   lease_ = done->lease;
-  const auto ttl = std::min<Duration>(std::chrono::seconds(done->ttl_s), whole_seconds(settings_.lease));
-  until_ = sent_ + std::chrono::duration_cast<Duration>(ttl * (1 - settings_.drift));
+  const auto ttl =
+      std::min<Duration>(std::chrono::seconds(done->ttl_s), whole_seconds(settings_.lease_duration));
+  until_ = sent_ + std::chrono::duration_cast<Duration>(ttl * (1 - settings_.clock_drift));
 }
 
 }  // namespace yokestream::coordination
--- a/src/coordination/session.h
+++ b/src/coordination/session.h
@@ -12,23 +12,23 @@
 
 namespace yokestream::coordination {
 
-class Session {
+class StoreSession {
  public:
-  explicit Session(const Settings& settings) : settings_(settings) {}
+  explicit StoreSession(const Settings& settings) : settings_(settings) {}
 
   // What is to be asked now. After asked(), nothing until replied().
-  std::optional<store::Request> next(Time now) const;
-  void asked(Time now) { sent_ = now, out_ = true; }
-  void replied(Time now, const store::Reply& reply);
-  Time due() const;  // when next() has something
+  std::optional<store::Request> next_request(Time now) const;
+  void on_request_sent(Time now) { sent_ = now, out_ = true; }
+  void on_reply(Time now, const store::Reply& reply);
+  Time next_due() const;  // when next() has something
 
-  bool held(Time now) const { return lease_ != store::LeaseId::none && now < until_; }
-  Time until() const { return until_; }  // it counts as held before this
+  bool is_held(Time now) const { return lease_ != store::LeaseId::none && now < until_; }
+  Time held_until() const { return until_; }  // it counts as held before this
   store::LeaseId lease() const { return lease_; }
   void forget() { lease_ = store::LeaseId::none, until_ = Time::min(); }  // it is given back
 
  private:
-  Duration renew_after() const { return settings_.lease / 3; }
+  Duration renew_after() const { return settings_.lease_duration / 3; }
 
   const Settings& settings_;
   store::LeaseId lease_ = store::LeaseId::none;
--- a/src/coordination/shares.cpp
+++ b/src/coordination/shares.cpp
@@ -14,17 +14,18 @@
 
 }  // namespace
 
-bool Shares::acknowledged(const Table& table, const std::map<std::string, Fact>& living,
-                          const std::string& duty) {
+bool LoadShareCalculator::acknowledged(const LoadShareTable& table,
+                                       const std::map<std::string, MemberRecord>& living,
+                                       const std::string& duty) {
   return std::all_of(living.begin(), living.end(), [&](const auto& session) {
-    if (!table.parts.count(session.first)) return true;  // acts on its even part at most
-    const auto seen = session.second.seen.find(duty);
-    return seen != session.second.seen.end() && seen->second >= table.epoch;
+    if (!table.shares.count(session.first)) return true;  // acts on its even part at most
+    const auto seen = session.second.acknowledged_epochs.find(duty);
+    return seen != session.second.acknowledged_epochs.end() && seen->second >= table.epoch;
   });
 }
 
 // By name: a manager that was started again may have two sessions for a while, and has one even part.
-std::size_t Shares::managers(const std::map<std::string, Fact>& living) const {
+std::size_t LoadShareCalculator::manager_count(const std::map<std::string, MemberRecord>& living) const {
   std::set<std::string> names;
   for (const auto& [session, fact] : living) names.insert(fact.name);
   return std::min(names.size(), told_);
@@ -32,53 +33,57 @@
 
 // Parts that shrink do so now, and parts that grow share what was free before: what is given up now is free
 // for the table after this one. So at each moment between the two the sum of the larger ones is within.
-std::optional<Table> Shares::next(const Table& table, const std::map<std::string, Fact>& living) const {
-  const auto count = static_cast<Part>(managers(living));
-  const Part all = count * even();
+std::optional<LoadShareTable> LoadShareCalculator::next_table(
+    const LoadShareTable& table, const std::map<std::string, MemberRecord>& living) const {
+  const auto count = static_cast<LoadShare>(manager_count(living));
+  const LoadShare all = count * even_share();
   double traffic = 0;
-  for (const auto& [session, fact] : living) traffic += std::max(0.0, fact.traffic);
+  for (const auto& [session, fact] : living) traffic += std::max(0.0, fact.requests_per_s);
   // A newcomer is let in with what is left over while the other newcomers still count on their even parts.
-  Part held = 0, newcomers = 0;
+  LoadShare held = 0, newcomers = 0;
   for (const auto& [session, fact] : living) {
-    const auto had = table.parts.find(session);
-    held += had != table.parts.end() ? had->second : 0;
-    newcomers += had == table.parts.end();
+    const auto had = table.shares.find(session);
+    held += had != table.shares.end() ? had->second : 0;
+    newcomers += had == table.shares.end();
   }
-  const Part entry = newcomers > 0 ? std::clamp(all - held - (newcomers - 1) * even(), least(), even()) : 0;
-  Table out{table.epoch + 1, table.term, {}};
-  std::map<std::string, Part> wanted;
-  Part in_force = 0, missing = 0;
+  const LoadShare entry =
+      newcomers > 0 ? std::clamp(all - held - (newcomers - 1) * even_share(), min_share(), even_share()) : 0;
+  LoadShareTable out{table.epoch + 1, table.fencing_token, {}};
+  std::map<std::string, LoadShare> wanted;
+  LoadShare in_force = 0, missing = 0;
   for (const auto& [session, fact] : living) {
-    const auto had = table.parts.find(session);
-    const Part now = had != table.parts.end() ? had->second : entry;
+    const auto had = table.shares.find(session);
+    const LoadShare now = had != table.shares.end() ? had->second : entry;
     // the least for each, the rest by traffic: within `all`, as the least is half of the even part
     const double by =
-        traffic > 0 ? std::max(0.0, fact.traffic) / traffic : 1 / static_cast<double>(living.size());
-    const auto aim = least() + static_cast<Part>(static_cast<double>(all - count * least()) * by);
-    auto want = now + static_cast<Part>(kDamp * static_cast<double>(aim - now));
+        traffic > 0 ? std::max(0.0, fact.requests_per_s) / traffic : 1 / static_cast<double>(living.size());
+    const auto aim =
+        min_share() + static_cast<LoadShare>(static_cast<double>(all - count * min_share()) * by);
+    auto want = now + static_cast<LoadShare>(kDamp * static_cast<double>(aim - now));
     if (std::abs(static_cast<double>(aim - now)) < kWorthTelling * static_cast<double>(now)) want = now;
-    want = std::max(want, least());
+    want = std::max(want, min_share());
     wanted[session] = want;
-    in_force += had != table.parts.end() ? now : even();  // until it acts on this table
-    missing += std::max<Part>(0, want - now);
-    out.parts[session] = now;
+    in_force += had != table.shares.end() ? now : even_share();  // until it acts on this table
+    missing += std::max<LoadShare>(0, want - now);
+    out.shares[session] = now;
   }
-  const Part free = std::max<Part>(0, all - in_force);
+  const LoadShare free = std::max<LoadShare>(0, all - in_force);
   // A session went, or was never counted: the others have more than is theirs, and shrink together.
   const double shrink = in_force > all ? static_cast<double>(all) / static_cast<double>(in_force) : 1;
-  for (auto& [session, part] : out.parts) {
-    const Part want = wanted[session];
+  for (auto& [session, part] : out.shares) {
+    const LoadShare want = wanted[session];
     if (want > part)
       part += missing <= free || (without_ & Settings::kFree)
                   ? want - part
-                  : static_cast<Part>(static_cast<double>(free) * static_cast<double>(want - part) /
-                                      static_cast<double>(missing));
+                  : static_cast<LoadShare>(static_cast<double>(free) * static_cast<double>(want - part) /
+                                           static_cast<double>(missing));
     else
       part = want;
     if (shrink < 1)
-      part = std::max(least(), std::min(part, static_cast<Part>(static_cast<double>(part) * shrink)));
+      part =
+          std::max(min_share(), std::min(part, static_cast<LoadShare>(static_cast<double>(part) * shrink)));
   }
-  if (out.parts == table.parts) return std::nullopt;
+  if (out.shares == table.shares) return std::nullopt;
   return out;
 }
 
--- a/src/coordination/shares.h
+++ b/src/coordination/shares.h
@@ -20,34 +20,35 @@
 
 namespace yokestream::coordination {
 
-using Part = std::int64_t;
-inline constexpr Part kWhole = 1'000'000'000;
+using LoadShare = std::int64_t;
+inline constexpr LoadShare kFullLoad = 1'000'000'000;
 
-struct Table {
+struct LoadShareTable {
   std::int64_t epoch = 0;
-  store::Revision term = 0;           // of the owner that wrote it (S1)
-  std::map<std::string, Part> parts;  // by session
-  bool operator==(const Table&) const = default;
+  store::Revision fencing_token = 0;        // of the owner that wrote it (S1)
+  std::map<std::string, LoadShare> shares;  // by session
+  bool operator==(const LoadShareTable&) const = default;
 };
-std::string encode(const Table& table);
-std::optional<Table> decode_table(std::string_view text);  // nullopt: it makes no sense
+std::string encode(const LoadShareTable& table);
+std::optional<LoadShareTable> decode_load_share_table(std::string_view text);  // nullopt: it makes no sense
 
-class Shares {
+class LoadShareCalculator {
  public:
   static constexpr double kDamp = 0.3;  // of the way to what traffic asks for, a table
 
   // `told`: managers that the platform tells of, one at least. `without`: Settings::without.
-  explicit Shares(std::size_t told, unsigned without = 0) : told_(told), without_(without) {}
-  Part even() const { return kWhole / static_cast<Part>(told_); }
-  Part least() const { return even() / 2; }
+  explicit LoadShareCalculator(std::size_t told, unsigned without = 0) : told_(told), without_(without) {}
+  LoadShare even_share() const { return kFullLoad / static_cast<LoadShare>(told_); }
+  LoadShare min_share() const { return even_share() / 2; }
 
   // Of the living, at most as many as are told.
-  std::size_t managers(const std::map<std::string, Fact>& living) const;
+  std::size_t manager_count(const std::map<std::string, MemberRecord>& living) const;
   // Whether all living sessions act on this table.
-  static bool acknowledged(const Table& table, const std::map<std::string, Fact>& living,
+  static bool acknowledged(const LoadShareTable& table, const std::map<std::string, MemberRecord>& living,
                            const std::string& duty);
   // The table that may follow, once it is acknowledged; nullopt: it would be the same.
-  std::optional<Table> next(const Table& table, const std::map<std::string, Fact>& living) const;
+  std::optional<LoadShareTable> next_table(const LoadShareTable& table,
+                                           const std::map<std::string, MemberRecord>& living) const;
 
  private:
   const std::size_t told_;
--- a/src/coordination/view.h
+++ b/src/coordination/view.h
@@ -12,16 +12,18 @@
 
 namespace yokestream::coordination {
 
-class View {
+class StoreView {
  public:
-  explicit View(std::string prefix) : prefix_(std::move(prefix)) {}
-
-  bool known() const { return revision_ > 0; }
-  store::Range read() const { return {prefix_, store::after_prefix(prefix_)}; }
-  void took(const store::Done& done);  // the answer to read()
-  store::Watch watch() const { return {prefix_, store::after_prefix(prefix_), revision_ + 1}; }
-  void heard(const store::Watched& watched);
-  void lost() { revision_ = 0; }  // its watch is over: all is read anew
+  explicit StoreView(std::string prefix) : prefix_(std::move(prefix)) {}
+
+  bool is_loaded() const { return revision_ > 0; }
+  store::Range load_request() const { return {prefix_, store::prefix_range_end(prefix_)}; }
+  void on_loaded(const store::Completed& done);  // the answer to read()
+  store::WatchRequest watch_request() const {
+    return {prefix_, store::prefix_range_end(prefix_), revision_ + 1};
+  }
+  void on_watch_response(const store::WatchResponse& watched);
+  void invalidate() { revision_ = 0; }  // its watch is over: all is read anew
 
   const store::KeyValue* find(const std::string& key) const;
 
--- a/src/dispatch/dialing.cpp
+++ b/src/dispatch/dialing.cpp
@@ -77,8 +77,8 @@
   out.query_class = config_.real.classes[static_cast<std::size_t>(request.told.query_class)];
   out.deadline = attempt.until;
   out.priority = band_of(query, request, attempt.uid);
-  if (route_of(request.told).touched) {
-    out.lease_expiry = routes_.until();
+  if (route_of(request.told).needs_lease) {
+    out.lease_expiry = routes_.lease_expiry();
     at(out.lease_expiry, AttemptTimer{query, attempt.tag, Outcome::never_sent, now_});
   }
   out.statement = request.told.statement;
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -82,7 +82,7 @@
                      : "what another process learnt is not taken over: it makes no sense here");
   }
   bool first = true;
-  if (config.fleet.on) routes_.expect(config.fleet.areas);
+  if (config.fleet.on) routes_.set_movable_areas(config.fleet.movable_areas);
   for (const auto& event : config.known) tell(take_list(event, std::exchange(first, false)));
   if (config.door.on)
     door_.emplace(door_settings(config), config.settings.tenants.size(), config.settings.classes.size());
@@ -152,7 +152,7 @@
   look_at_service();
   finish_settled();
   directory_.forget(now_);
-  routes_.keep([&](const std::string& uid) { return directory_.has(uid); });
+  routes_.retain_engines([&](const std::string& uid) { return directory_.has(uid); });
   note_stations();
   publish_engines();
   at(now_ + kSweepEvery, Sweep{});
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -51,12 +51,12 @@
   // What the fleet's duties say of areas (routing.cpp). Attempts at an area that one may touch leave before
   // `until` or never (S4): whatever holds them back, and whoever stopped this process meanwhile. Where a
   // table comes, what waits goes by it at once; nothing is sent by the one before.
-  void apply_routes(Time now, const routing::Table& table, Time until);
+  void apply_routes(Time now, const routing::RouteTable& table, Time until);
   // Whether nothing is out any more that the table of now would not let out (S6): only then may it be said to
   // be acted on.
   bool conforms_to_routes() const;
   std::int64_t routes_epoch() const { return routes_.epoch(); }
-  const routing::Tallies& tallies() const { return tallies_; }
+  const routing::OutcomeTallies& tallies() const { return tallies_; }
   void set_manager_count(double fronts);  // 1 or more: this manager's part of the load is one over them
 
   std::size_t open_requests() const { return calls_.size(); }
@@ -188,8 +188,8 @@
   Time next_station_note_{};
   std::uint64_t noted_turned_away_ = 0, noted_waited_ = 0;
   std::size_t beside_ = 0;  // processes of this manager
-  routing::Routes routes_;
-  routing::Tallies tallies_;
+  routing::Router routes_;
+  routing::OutcomeTallies tallies_;
   double fronts_;                   // as told from outside, else by the settings
   std::deque<policy::Event> told_;  // what the controller is yet to hear
   std::vector<policy::Action> actions_;
--- a/src/dispatch/routing.cpp
+++ b/src/dispatch/routing.cpp
@@ -15,19 +15,19 @@
 
 routing::Route Dispatcher::route_of(const RequestReceived& told) const {
   const auto& cls = class_of(told);
-  return routes_.find(now_, told.table_group, cls.idempotency == policy::Idempotency::idempotent,
-                      told.request_id);
+  return routes_.route(now_, told.table_group, cls.idempotency == policy::Idempotency::idempotent,
+                       told.request_id);
 }
 
 std::optional<EngineSet> Dispatcher::eligible(const routing::Route& route) const {
   if (route.closed) return EngineSet{};
-  return route.among ? std::optional(*route.among) : std::nullopt;
+  return route.allowed_engines ? std::optional(*route.allowed_engines) : std::nullopt;
 }
 
-void Dispatcher::apply_routes(Time now, const routing::Table& table, Time until) {
+void Dispatcher::apply_routes(Time now, const routing::RouteTable& table, Time until) {
   step(now);
-  if (table.epoch != routes_.epoch()) routes_.swap(table);
-  routes_.extend(until);
+  if (table.epoch != routes_.epoch()) routes_.install(table);
+  routes_.extend_lease(until);
   if (until > now_ && until != Time::max()) at(until, RoutesEnd{});
   tell_routes();
   run_controller();
@@ -35,12 +35,12 @@
 }
 
 void Dispatcher::due(const RoutesEnd&) {
-  if (now_ >= routes_.until()) tell_routes();
+  if (now_ >= routes_.lease_expiry()) tell_routes();
 }
 
 // What is queued and not written yet is taken back where it may no longer go; the module hears of the others.
 void Dispatcher::tell_routes() {
-  if (!routes_.on()) return;
+  if (!routes_.enabled()) return;
   std::vector<policy::QueryId> barred;
   for (auto& [query, request] : requests_) {
     const routing::Route route = route_of(request.told);
@@ -58,30 +58,31 @@
 
 bool Dispatcher::bars(const routing::Route& route, const std::string& uid) const {
   if (route.closed) return true;
-  if (!route.among) return false;
-  const std::uint32_t slot = routes_.slot(uid);
-  return slot >= policy::kMaxEngineSlots || !(*route.among)[slot];
+  if (!route.allowed_engines) return false;
+  const std::uint32_t slot = routes_.slot_of(uid);
+  return slot >= policy::kMaxEngineSlots || !(*route.allowed_engines)[slot];
 }
 
 void Dispatcher::tally(const Request& request, bool served) {
   if (!request.eligible) return;  // no rule, or the module was not asked
   const auto& cls = class_of(request.told);
   const routing::Route route = route_of(request.told);
-  if (!route.among || cls.idempotency != policy::Idempotency::idempotent) return;
+  if (!route.allowed_engines || cls.idempotency != policy::Idempotency::idempotent) return;
   auto& [left, taken] = tallies_[request.told.table_group];
-  routing::Tally& side = route.moved ? taken : left;
-  ++side.all, side.served += served;
+  routing::OutcomeTally& side = route.moved ? taken : left;
+  ++side.total, side.served += served;
   if (!served || !request.told.work || !request.attempt) return;
   const auto us = [](Duration d) { return std::chrono::duration_cast<std::chrono::microseconds>(d).count(); };
-  side.took_us += us(request.attempt->took);
-  side.told_us += us(std::chrono::duration_cast<Duration>(*request.told.work / std::max(1.0, cls.threads)));
+  side.elapsed_us += us(request.attempt->took);
+  side.estimated_us +=
+      us(std::chrono::duration_cast<Duration>(*request.told.work / std::max(1.0, cls.threads)));
 }
 
 // The list as the module is to hear it, with the slots by which sets name engines.
 policy::EngineList Dispatcher::take_list(const config::MembersEvent& event, bool remembered) {
   policy::EngineList list = directory_.apply(now_, event, remembered);
   for (std::size_t i = 0; i < event.members.size(); ++i)
-    list.entries[i].slot = routes_.list(event.members[i]);
+    list.entries[i].slot = routes_.register_engine(event.members[i]);
   return list;
 }
 
--- a/src/migration/admit.cpp
+++ b/src/migration/admit.cpp
@@ -6,15 +6,15 @@
 
 namespace yokestream::migration {
 
-std::string admit(Record& record, const std::string& name, const std::string& text) {
-  const auto told = base::read_json(text, store::kMostValue);
+std::string admit_plan(MigrationRecord& record, const std::string& name, const std::string& text) {
+  const auto told = base::read_json(text, store::kMaxValueBytes);
   if (!told) return "it can't be read";
   std::vector<std::string> problems;
   const auto plan = read_plan(*told, problems);
   if (!plan) return problems.front();
   if (plan->name != name) return "it is of another name";
-  if (record.plans.size() >= kMostPlans) return std::to_string(kMostPlans) + " plans are under way";
-  for (const Running& other : record.plans) {
+  if (record.plans.size() >= kMaxPlans) return std::to_string(kMaxPlans) + " plans are under way";
+  for (const PlanProgress& other : record.plans) {
     if (other.plan.name == name) return "a plan of this name is under way";
     for (const Move& theirs : other.plan.moves)
       for (const Move& ours : plan->moves)
@@ -28,7 +28,7 @@
       return "area " + std::to_string(static_cast<std::uint64_t>(move.area)) + " is at home at " +
              home->second.name;
   }
-  record.ended.erase(name);
+  record.outcomes.erase(name);
   record.plans.push_back({*plan, std::vector<std::size_t>(plan->moves.size(), 0), false, false, ""});
   return "";
 }
--- a/src/migration/check_plan.cpp
+++ b/src/migration/check_plan.cpp
@@ -40,12 +40,12 @@
   for (std::size_t i = 0; i < plan.stages.size(); ++i) {
     const Stage& stage = plan.stages[i];
     const std::string path = item("stages", i);
-    if (i + 1 == plan.stages.size() && (stage.edges < 1 || stage.traffic < 1))
+    if (i + 1 == plan.stages.size() && (stage.edge_share < 1 || stage.traffic_share < 1))
       problems.push_back(path + ": the last stage is not all of the edges and all of the traffic");
     if (i == 0) continue;
     const Stage& before = plan.stages[i - 1];
-    const bool grows = stage.edges >= before.edges && stage.traffic >= before.traffic &&
-                       (stage.edges > before.edges || stage.traffic > before.traffic);
+    const bool grows = stage.edge_share >= before.edge_share && stage.traffic_share >= before.traffic_share &&
+                       (stage.edge_share > before.edge_share || stage.traffic_share > before.traffic_share);
     if (!grows) problems.push_back(path + ": it does not grow");
   }
 }
@@ -56,7 +56,7 @@
     if (std::find(movable.begin(), movable.end(), plan.moves[i].area) == movable.end())
       problems.push_back(item("moves", i) + ".area: not among fleet.areas of the operator file");
   for (const auto& named : plan.origins)
-    if (std::none_of(engines.begin(), engines.end(), [&](const auto& e) { return named.second.takes(e); }))
+    if (std::none_of(engines.begin(), engines.end(), [&](const auto& e) { return named.second.contains(e); }))
       problems.push_back("origins." + named.first + ": no engine matches it");
 }
 
--- a/src/migration/mover.cpp
+++ b/src/migration/mover.cpp
@@ -4,8 +4,8 @@
 
 namespace yokestream::migration {
 
-bool Mover::see(std::string_view state, const std::string& session) {
-  auto record = state.empty() ? std::optional(Record{}) : decode_record(state);
+bool MigrationTask::observe(std::string_view state, const std::string& session) {
+  auto record = state.empty() ? std::optional(MigrationRecord{}) : decode_record(state);
   const bool good = record.has_value();
   if (good) record_ = std::move(*record);
   session_ = good ? session : "";  // by a record that makes no sense nothing is sent
@@ -13,19 +13,20 @@
   return good;
 }
 
-std::optional<routing::Table> Mover::own_table() const {
+std::optional<routing::RouteTable> MigrationTask::own_table() const {
   auto table = table_of(record_, session_);
   if (!table && (without_ & kRoster) && record_.epoch >= 0) {
-    Record open = record_;
+    MigrationRecord open = record_;
     open.roster[session_] = session_;
     return table_of(open, session_);
   }
   return table;
 }
 
-std::map<std::string, std::vector<std::int64_t>> Mover::tallies(const Tallies& by_area) const {
+std::map<std::string, std::vector<std::int64_t>> MigrationTask::outcome_tallies(
+    const OutcomeTallies& by_area) const {
   std::map<std::string, std::vector<std::int64_t>> out;
-  for (const Running& running : record_.plans) {
+  for (const PlanProgress& running : record_.plans) {
     auto& sum = out[running.plan.name];
     sum = numbers({}, {});
     for (const Move& move : running.plan.moves)
@@ -36,31 +37,33 @@
 }
 
 // S3: every session of the roster acts on the record, or was seen to have ended long enough ago.
-bool Mover::settled(const coordination::Looked& looked) {
+bool MigrationTask::settled(const coordination::FleetSnapshot& looked) {
   std::erase_if(gone_, [&](const auto& gone) { return !record_.roster.count(gone.first); });
   bool all = true;
   for (const auto& [session, name] : record_.roster) {
-    const auto lives = looked.living.find(session);
-    if (lives == looked.living.end()) {
+    const auto lives = looked.members.find(session);
+    if (lives == looked.members.end()) {
       const Time since = gone_.emplace(session, looked.now).first->second;
       all &= looked.now >= since + longest_ || (without_ & kLongest);
       continue;
     }
     gone_.erase(session);
-    const auto seen = lives->second.seen.find(kName);
-    all &= (seen != lives->second.seen.end() && seen->second >= record_.epoch) || (without_ & kAcknowledged);
+    const auto seen = lives->second.acknowledged_epochs.find(kName);
+    all &= (seen != lives->second.acknowledged_epochs.end() && seen->second >= record_.epoch) ||
+           (without_ & kAcknowledged);
   }
   return all;
 }
 
-std::optional<coordination::Duty::Draft> Mover::next(const coordination::Looked& looked) {
-  if (std::exchange(term_, looked.term) != looked.term) gone_.clear(), spans_.clear();
+std::optional<coordination::LeaderTask::Draft> MigrationTask::next_draft(
+    const coordination::FleetSnapshot& looked) {
+  if (std::exchange(term_, looked.fencing_token) != looked.fencing_token) gone_.clear(), spans_.clear();
   const bool all = settled(looked);
-  Record next = record_;
+  MigrationRecord next = record_;
   Draft draft;
-  for (const auto& [session, fact] : looked.living) next.roster.emplace(session, fact.name);
+  for (const auto& [session, fact] : looked.members) next.roster.emplace(session, fact.name);
   if (all) {
-    std::erase_if(next.roster, [&](const auto& edge) { return !looked.living.count(edge.first); });
+    std::erase_if(next.roster, [&](const auto& edge) { return !looked.members.count(edge.first); });
     // what is new is acted on as it stands, each area wholly at its old side, before anything moves
     end(next);
     const std::size_t under_way = next.plans.size();
@@ -68,56 +71,57 @@
     for (std::size_t i = 0; i < under_way; ++i) step(looked, next.plans[i]);
   }
   busy_ = !all || !next.plans.empty();
-  if (next == record_ && draft.answered.empty()) return std::nullopt;
+  if (next == record_ && draft.answered_requests.empty()) return std::nullopt;
   next.epoch = record_.epoch + 1;
-  next.term = looked.term;
+  next.fencing_token = looked.fencing_token;
   draft.state = encode(next);
-  if (draft.state.size() > store::kMostValue)
+  if (draft.state.size() > store::kMaxValueBytes)
     return std::nullopt;  // told of by the status: it does not go on
   return draft;
 }
 
 // What staff asked for since. A plan that can't be taken is answered with the reason.
-void Mover::take_asked(const coordination::Looked& looked, Record& next, Draft& draft) const {
+void MigrationTask::take_asked(const coordination::FleetSnapshot& looked, MigrationRecord& next,
+                               Draft& draft) const {
   const auto running = [&](const std::string& name) {
     return std::find_if(next.plans.begin(), next.plans.end(),
-                        [&](const Running& r) { return r.plan.name == name; });
+                        [&](const PlanProgress& r) { return r.plan.name == name; });
   };
-  for (const auto& [what, text] : looked.asked) {
-    draft.answered.push_back(what);
-    if (what.starts_with(kWishAsked)) {
-      const auto it = running(what.substr(std::string(kWishAsked).size()));
+  for (const auto& [what, text] : looked.staff_requests) {
+    draft.answered_requests.push_back(what);
+    if (what.starts_with(kControlRequestPrefix)) {
+      const auto it = running(what.substr(std::string(kControlRequestPrefix).size()));
       if (it == next.plans.end()) continue;
       it->halted = text == "halt";
-      it->why = it->halted ? "staff asked for it" : it->back ? it->why : "";
-    } else if (what.starts_with(kPlanAsked)) {
-      const std::string name = what.substr(std::string(kPlanAsked).size());
-      const std::string why = admit(next, name, text);
-      if (!why.empty()) next.ended[name] = "turned down: " + why;
+      it->cause = it->halted ? "staff asked for it" : it->rolling_back ? it->cause : "";
+    } else if (what.starts_with(kPlanRequestPrefix)) {
+      const std::string name = what.substr(std::string(kPlanRequestPrefix).size());
+      const std::string why = admit_plan(next, name, text);
+      if (!why.empty()) next.outcomes[name] = "turned down: " + why;
     }
   }
 }
 
 // Only once every edge acts on its last step.
-void Mover::end(Record& next) const {
-  std::erase_if(next.plans, [&](const Running& running) {
-    const std::size_t last = running.back ? 0 : running.done();
+void MigrationTask::end(MigrationRecord& next) const {
+  std::erase_if(next.plans, [&](const PlanProgress& running) {
+    const std::size_t last = running.rolling_back ? 0 : running.done_step();
     if (std::any_of(running.steps.begin(), running.steps.end(), [&](auto step) { return step != last; }))
       return false;
-    next.ended[running.plan.name] = running.back ? "went back: " + running.why : "done";
+    next.outcomes[running.plan.name] = running.rolling_back ? "went back: " + running.cause : "done";
     for (const Move& move : running.plan.moves) {
-      const std::string& at = running.back ? move.from : move.to;
+      const std::string& at = running.rolling_back ? move.from : move.to;
       next.homes[move.area] = {at, running.plan.origins.at(at)};
     }
     return true;
   });
-  while (next.ended.size() > kMostEnded) next.ended.erase(next.ended.begin());
+  while (next.outcomes.size() > kMaxOutcomes) next.outcomes.erase(next.outcomes.begin());
 }
 
 // ---- one plan, one step
 
 // A stage's time and its span are counted from when this owner first saw the whole fleet act on it.
-void Mover::step(const coordination::Looked& looked, Running& running) {
+void MigrationTask::step(const coordination::FleetSnapshot& looked, PlanProgress& running) {
   if (running.halted) {
     spans_.erase(running.plan.name);
     return;
@@ -125,7 +129,7 @@
   Span& span = spans_[running.plan.name];
   if (span.steps != running.steps) {
     span = {running.steps, looked.now, {}};
-    for (const auto& [session, fact] : looked.living)
+    for (const auto& [session, fact] : looked.members)
       if (const auto it = fact.tallies.find(running.plan.name); it != fact.tallies.end())
         span.from[session] = it->second;
   }
@@ -133,39 +137,40 @@
   Duration hold{};
   bool in_stage = false;
   for (const auto step : running.steps)
-    if (step > 0 && step <= n) in_stage = true, hold = std::max(hold, running.plan.stages[step - 1].hold);
+    if (step > 0 && step <= n)
+      in_stage = true, hold = std::max(hold, running.plan.stages[step - 1].min_duration);
   if (in_stage && looked.now < span.since + hold) return;
   if (in_stage && running.plan.gate) {
     const Verdict verdict = judge(looked, running, span);
     // all is on one side at the last stage, so there is nothing left to compare with
     const bool compares = std::any_of(running.steps.begin(), running.steps.end(),
                                       [&](auto step) { return step > 0 && step < n; });
-    if (compares && verdict.word == Verdict::Word::too_few) return;
-    if (verdict.word == Verdict::Word::bad) {
-      running.why = verdict.why;
-      if (running.plan.on_fail == OnFail::back && !running.back)
-        running.back = true;
+    if (compares && verdict.result == Verdict::Result::too_few) return;
+    if (verdict.result == Verdict::Result::bad) {
+      running.cause = verdict.cause;
+      if (running.plan.on_fail == OnFail::roll_back && !running.rolling_back)
+        running.rolling_back = true;
       else
         running.halted = true;
       return;
     }
   }
-  if (running.back) return step_back(running);
+  if (running.rolling_back) return step_back(running);
   const std::vector<std::size_t> before = running.steps;
   for (std::size_t i = 0; i < before.size(); ++i) {
     const auto& after = running.plan.moves[i].after;
     const bool free = std::all_of(after.begin(), after.end(), [&](TableGroupId area) {
       for (std::size_t j = 0; j < before.size(); ++j)
-        if (running.plan.moves[j].area == area) return before[j] == running.done();
+        if (running.plan.moves[j].area == area) return before[j] == running.done_step();
       return true;
     });
     if (before[i] == 0 && !free && !(without_ & kOrder)) continue;
-    if (before[i] < running.done()) ++running.steps[i];
-    if (running.steps[i] == running.stopped() && (without_ & kStop)) ++running.steps[i];
+    if (before[i] < running.done_step()) ++running.steps[i];
+    if (running.steps[i] == running.loads_stopped_step() && (without_ & kStop)) ++running.steps[i];
   }
 }
 
-void Mover::step_back(Running& running) const {
+void MigrationTask::step_back(PlanProgress& running) const {
   const std::vector<std::size_t> before = running.steps;
   for (std::size_t i = 0; i < before.size(); ++i) {
     bool free = true;  // of those that wait for it, none has begun
@@ -178,15 +183,16 @@
   }
 }
 
-Verdict Mover::judge(const coordination::Looked& looked, const Running& running, const Span& span) const {
+Verdict MigrationTask::judge(const coordination::FleetSnapshot& looked, const PlanProgress& running,
+                             const Span& span) const {
   std::vector<std::int64_t> sum;
-  for (const auto& [session, fact] : looked.living) {
+  for (const auto& [session, fact] : looked.members) {
     const auto now = fact.tallies.find(running.plan.name);
     if (now == fact.tallies.end()) continue;
     add(sum, now->second, 1);
     if (const auto was = span.from.find(session); was != span.from.end()) add(sum, was->second, -1);
   }
-  return migration::judge(*running.plan.gate, sum, running.back);
+  return migration::judge(*running.plan.gate, sum, running.rolling_back);
 }
 
 }  // namespace yokestream::migration
--- a/src/migration/mover.h
+++ b/src/migration/mover.h
@@ -22,29 +22,29 @@
 namespace yokestream::migration {
 
 // Takes a plan in; else says why not, and the record stays as it is.
-std::string admit(Record& record, const std::string& name, const std::string& text);
+std::string admit_plan(MigrationRecord& record, const std::string& name, const std::string& text);
 
-class Mover : public coordination::Duty {
+class MigrationTask : public coordination::LeaderTask {
  public:
   static constexpr const char* kName = "migration";
 
   // `longest`: after which no attempt is out any more. `drift`: by which clocks' rates differ.
-  Mover(Duration longest, double drift, unsigned without = 0)
+  MigrationTask(Duration longest, double drift, unsigned without = 0)
       : longest_(std::chrono::duration_cast<Duration>(longest * (1 + 2 * drift))), without_(without) {}
 
   // For tests alone: guards that are left out, so that the checker is seen to find what they guard against.
   enum Guard : unsigned { kAcknowledged = 1, kLongest = 2, kOrder = 4, kStop = 8, kRoster = 16 };
 
   std::string name() const override { return kName; }
-  bool see(std::string_view state, const std::string& session) override;
-  std::optional<Draft> next(const coordination::Looked& looked) override;
-  bool busy() const override { return busy_; }
+  bool observe(std::string_view state, const std::string& session) override;
+  std::optional<Draft> next_draft(const coordination::FleetSnapshot& looked) override;
+  bool has_pending_work() const override { return busy_; }
 
-  const Record& record() const { return record_; }
+  const MigrationRecord& record() const { return record_; }
   // What this process may act on; nullopt: nothing, its areas are closed.
-  const std::optional<routing::Table>& table() const { return table_; }
+  const std::optional<routing::RouteTable>& routing_table() const { return table_; }
   // This session's outcomes by area and side, as the core counted them, by plan: what it tells.
-  std::map<std::string, std::vector<std::int64_t>> tallies(const Tallies& by_area) const;
+  std::map<std::string, std::vector<std::int64_t>> outcome_tallies(const OutcomeTallies& by_area) const;
 
  private:
   struct Span {  // one stage of one plan, all its moves together
@@ -52,19 +52,20 @@
     Time since{};
     std::map<std::string, std::vector<std::int64_t>> from;  // tallies by session as it began
   };
-  std::optional<routing::Table> own_table() const;
-  bool settled(const coordination::Looked& looked);
-  void take_asked(const coordination::Looked& looked, Record& next, Draft& draft) const;
-  void step(const coordination::Looked& looked, Running& running);
-  void step_back(Running& running) const;
-  void end(Record& next) const;
-  Verdict judge(const coordination::Looked& looked, const Running& running, const Span& span) const;
+  std::optional<routing::RouteTable> own_table() const;
+  bool settled(const coordination::FleetSnapshot& looked);
+  void take_asked(const coordination::FleetSnapshot& looked, MigrationRecord& next, Draft& draft) const;
+  void step(const coordination::FleetSnapshot& looked, PlanProgress& running);
+  void step_back(PlanProgress& running) const;
+  void end(MigrationRecord& next) const;
+  Verdict judge(const coordination::FleetSnapshot& looked, const PlanProgress& running,
+                const Span& span) const;
 
   const Duration longest_;
   const unsigned without_;
-  Record record_;
+  MigrationRecord record_;
   std::string session_;
-  std::optional<routing::Table> table_;  // of the two above
+  std::optional<routing::RouteTable> table_;  // of the two above
   bool busy_ = false;
   std::map<std::string, Time> gone_;   // of the roster: since when it is seen no more
   std::map<std::string, Span> spans_;  // by plan
--- a/src/migration/plan.h
+++ b/src/migration/plan.h
@@ -20,8 +20,8 @@
 using policy::Time;
 using Origins = std::map<std::string, routing::Origin>;
 
-inline constexpr std::size_t kMostMoves = 256, kMostStages = 16, kMostOrigins = 16, kMostAfter = 64;
-inline constexpr std::size_t kMostName = 32;  // of a plan or an origin, characters
+inline constexpr std::size_t kMaxMoves = 256, kMaxStages = 16, kMaxOrigins = 16, kMaxPrerequisites = 64;
+inline constexpr std::size_t kMaxNameLength = 32;  // of a plan or an origin, characters
 
 struct Move {
   TableGroupId area{};
@@ -30,18 +30,19 @@
   bool operator==(const Move&) const = default;
 };
 struct Stage {
-  double edges = 1, traffic = 1;  // shares, above 0 and at most 1: of the edges, and of what these move
-  Duration hold{};                // it lasts at least so long
+  double edge_share = 1,
+         traffic_share = 1;  // shares, above 0 and at most 1: of the edges, and of what these move
+  Duration min_duration{};   // it lasts at least so long
   bool operator==(const Stage&) const = default;
 };
 // What a stage must show, the new side beside the one left behind over the same span.
 struct Gate {
-  double served = 0.02;        // the share served may be lower by so much
-  double slower = 1.5;         // time taken over time predicted may be so many times the old side's
-  std::int64_t outcomes = 50;  // on each side at least
+  double max_served_drop = 0.02;   // the share served may be lower by so much
+  double max_slowdown = 1.5;       // time taken over time predicted may be so many times the old side's
+  std::int64_t min_outcomes = 50;  // on each side at least
   bool operator==(const Gate&) const = default;
 };
-enum class OnFail { hold, back };
+enum class OnFail { hold, roll_back };
 struct Plan {
   std::string name;
   Origins origins;
--- a/src/migration/read_plan.cpp
+++ b/src/migration/read_plan.cpp
@@ -27,7 +27,7 @@
   std::string name(const std::string& key) {
     const Json::Value& v = at(key);
     std::string text = v.isString() ? v.asString() : "";
-    if (text.empty() || text.size() > kMostName ||
+    if (text.empty() || text.size() > kMaxNameLength ||
         text.find_first_not_of("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_") !=
             std::string::npos)
       fail(key, "not a name of 1 to 32 letters, digits, '-' and '_'");
@@ -85,7 +85,7 @@
   if (const auto area = whole(fields.at("area"), path + ".area", problems)) move.area = TableGroupId{*area};
   move.from = fields.name("from");
   move.to = fields.name("to");
-  const Json::Value& after = fields.list("after", kMostAfter);
+  const Json::Value& after = fields.list("after", kMaxPrerequisites);
   for (Json::ArrayIndex i = 0; i < after.size(); ++i)
     if (const auto area = whole(after[i], item(path + ".after", i), problems))
       move.after.push_back(TableGroupId{*area});
@@ -96,9 +96,10 @@
 Stage read_stage(const Json::Value& told, const std::string& path, Problems& problems) {
   Fields fields(told, path, problems);
   Stage stage;
-  stage.edges = fields.number("edges", 1, 1e-4, 1);
-  stage.traffic = fields.number("traffic", 1, 1e-4, 1);
-  stage.hold = std::chrono::milliseconds(static_cast<std::int64_t>(fields.number("hold_ms", 10'000, 0, 6e8)));
+  stage.edge_share = fields.number("edges", 1, 1e-4, 1);
+  stage.traffic_share = fields.number("traffic", 1, 1e-4, 1);
+  stage.min_duration =
+      std::chrono::milliseconds(static_cast<std::int64_t>(fields.number("hold_ms", 10'000, 0, 6e8)));
   fields.done();
   return stage;
 }
@@ -106,9 +107,9 @@
 Gate read_gate(const Json::Value& told, const std::string& path, Problems& problems) {
   Fields fields(told, path, problems);
   Gate gate;
-  gate.served = fields.number("served", gate.served, 0, 1);
-  gate.slower = fields.number("slower", gate.slower, 1, 1000);
-  gate.outcomes = static_cast<std::int64_t>(fields.number("outcomes", 50, 1, 1e9));
+  gate.max_served_drop = fields.number("served", gate.max_served_drop, 0, 1);
+  gate.max_slowdown = fields.number("slower", gate.max_slowdown, 1, 1000);
+  gate.min_outcomes = static_cast<std::int64_t>(fields.number("outcomes", 50, 1, 1e9));
   fields.done();
   return gate;
 }
@@ -149,23 +150,23 @@
   Plan plan;
   plan.name = fields.name("name");
   const Json::Value& origins = fields.at("origins");
-  if (!origins.isObject() || origins.size() > kMostOrigins) {
-    fields.fail("origins", "not an object of at most " + std::to_string(kMostOrigins));
+  if (!origins.isObject() || origins.size() > kMaxOrigins) {
+    fields.fail("origins", "not an object of at most " + std::to_string(kMaxOrigins));
   } else {
     for (const auto& name : origins.getMemberNames())
       plan.origins[name] = read_origin(origins[name], "origins." + name, problems);
   }
-  const Json::Value& moves = fields.list("moves", kMostMoves);
+  const Json::Value& moves = fields.list("moves", kMaxMoves);
   for (Json::ArrayIndex i = 0; i < moves.size(); ++i)
     plan.moves.push_back(read_move(moves[i], item("moves", i), problems));
-  const Json::Value& stages = fields.list("stages", kMostStages);
+  const Json::Value& stages = fields.list("stages", kMaxStages);
   for (Json::ArrayIndex i = 0; i < stages.size(); ++i)
     plan.stages.push_back(read_stage(stages[i], item("stages", i), problems));
   const Json::Value& gate = fields.at("gate");
   if (!gate.isNull()) plan.gate = read_gate(gate, "gate", problems);
   const Json::Value& on_fail = fields.at("on_fail");
   if (on_fail == "back")
-    plan.on_fail = OnFail::back;
+    plan.on_fail = OnFail::roll_back;
   else if (!on_fail.isNull() && on_fail != "hold")
     fields.fail("on_fail", "neither hold nor back");
   fields.done();
@@ -187,15 +188,16 @@
   }
   for (const Stage& stage : plan.stages) {
     Json::Value s;
-    s["edges"] = stage.edges, s["traffic"] = stage.traffic;
-    s["hold_ms"] = Json::Int64(std::chrono::duration_cast<std::chrono::milliseconds>(stage.hold).count());
+    s["edges"] = stage.edge_share, s["traffic"] = stage.traffic_share;
+    s["hold_ms"] =
+        Json::Int64(std::chrono::duration_cast<std::chrono::milliseconds>(stage.min_duration).count());
     out["stages"].append(s);
   }
   if (plan.gate) {
-    out["gate"]["served"] = plan.gate->served, out["gate"]["slower"] = plan.gate->slower;
-    out["gate"]["outcomes"] = Json::Int64(plan.gate->outcomes);
+    out["gate"]["served"] = plan.gate->max_served_drop, out["gate"]["slower"] = plan.gate->max_slowdown;
+    out["gate"]["outcomes"] = Json::Int64(plan.gate->min_outcomes);
   }
-  out["on_fail"] = plan.on_fail == OnFail::back ? "back" : "hold";
+  out["on_fail"] = plan.on_fail == OnFail::roll_back ? "back" : "hold";
   return out;
 }
 
--- a/src/migration/record.cpp
+++ b/src/migration/record.cpp
@@ -27,16 +27,16 @@
   return out;
 }
 
-std::optional<Running> read_running(const Json::Value& v) {
+std::optional<PlanProgress> read_running(const Json::Value& v) {
   std::vector<std::string> problems;
   if (!v.isObject()) return std::nullopt;
   const auto plan = read_plan(v["plan"], problems);
   if (!plan || !v["steps"].isArray() || v["steps"].size() != plan->moves.size() || !v["back"].isBool() ||
       !v["halted"].isBool() || !v["why"].isString())
     return std::nullopt;
-  Running out{*plan, {}, v["back"].asBool(), v["halted"].asBool(), v["why"].asString()};
+  PlanProgress out{*plan, {}, v["back"].asBool(), v["halted"].asBool(), v["why"].asString()};
   for (const auto& step : v["steps"]) {
-    if (!step.isUInt() || step.asUInt() > out.done()) return std::nullopt;
+    if (!step.isUInt() || step.asUInt() > out.done_step()) return std::nullopt;
     out.steps.push_back(step.asUInt());
   }
   return out;
@@ -50,7 +50,7 @@
 
 // How many edges are ahead of this one, which is in the roster. By name, so that a manager that is started
 // again stays where it was; the order differs from plan to plan.
-std::size_t place_of(const Record& record, const std::string& session, const std::string& plan) {
+std::size_t place_of(const MigrationRecord& record, const std::string& session, const std::string& plan) {
   const auto rank = [&](const std::string& name) {
     const std::string text = plan + "/" + name;
     return std::pair(XXH3_64bits(text.data(), text.size()), name);
@@ -59,17 +59,17 @@
   return static_cast<std::size_t>(std::count_if(record.roster.begin(), record.roster.end(),
                                                 [&](const auto& other) { return rank(other.second) < own; }));
 }
-bool first(std::size_t place, const Record& record, double share) {
+bool first(std::size_t place, const MigrationRecord& record, double share) {
   return static_cast<double>(place) < std::ceil(share * static_cast<double>(record.roster.size()) - 1e-9);
 }
 
 }  // namespace
 
-std::string encode(const Record& record) {
+std::string encode(const MigrationRecord& record) {
   Json::Value out;
   out["form"] = kForm;
   out["epoch"] = Json::Int64(record.epoch);
-  out["term"] = Json::Int64(record.term);
+  out["term"] = Json::Int64(record.fencing_token);
   out["roster"] = to_json(record.roster);
   out["homes"] = Json::objectValue;
   for (const auto& [area, home] : record.homes) {
@@ -77,28 +77,28 @@
     told["name"] = home.name, told["origin"] = migration::to_json(home.origin);
   }
   out["plans"] = Json::arrayValue;
-  for (const Running& running : record.plans) {
+  for (const PlanProgress& running : record.plans) {
     Json::Value told;
     told["plan"] = migration::to_json(running.plan);
     for (const auto step : running.steps) told["steps"].append(Json::UInt(step));
-    told["back"] = running.back, told["halted"] = running.halted, told["why"] = running.why;
+    told["back"] = running.rolling_back, told["halted"] = running.halted, told["why"] = running.cause;
     out["plans"].append(told);
   }
-  out["ended"] = to_json(record.ended);
+  out["ended"] = to_json(record.outcomes);
   return base::write_json(out);
 }
 
-std::optional<Record> decode_record(std::string_view text) {
-  const auto v = base::read_json(text, store::kMostValue);
+std::optional<MigrationRecord> decode_record(std::string_view text) {
+  const auto v = base::read_json(text, store::kMaxValueBytes);
   if (!v || !v->isObject() || (*v)["form"] != kForm || !(*v)["epoch"].isInt64() || !(*v)["term"].isInt64() ||
       !all_strings((*v)["roster"]) || !all_strings((*v)["ended"]) || !(*v)["homes"].isObject() ||
-      !(*v)["plans"].isArray() || (*v)["plans"].size() > kMostPlans)
+      !(*v)["plans"].isArray() || (*v)["plans"].size() > kMaxPlans)
     return std::nullopt;
-  Record out;
+  MigrationRecord out;
   out.epoch = (*v)["epoch"].asInt64();
-  out.term = (*v)["term"].asInt64();
+  out.fencing_token = (*v)["term"].asInt64();
   out.roster = strings((*v)["roster"]);
-  out.ended = strings((*v)["ended"]);
+  out.outcomes = strings((*v)["ended"]);
   std::vector<std::string> problems;
   for (const auto& name : (*v)["homes"].getMemberNames()) {
     const auto& home = (*v)["homes"][name];
@@ -114,25 +114,27 @@
   return problems.empty() && out.epoch >= 0 ? std::optional(std::move(out)) : std::nullopt;
 }
 
-bool among_first(const Record& record, const std::string& session, const std::string& plan, double share) {
+bool among_first(const MigrationRecord& record, const std::string& session, const std::string& plan,
+                 double share) {
   return record.roster.count(session) && first(place_of(record, session, plan), record, share);
 }
 
-std::optional<routing::Table> table_of(const Record& record, const std::string& session) {
+std::optional<routing::RouteTable> table_of(const MigrationRecord& record, const std::string& session) {
   if (!record.roster.count(session)) return std::nullopt;
-  routing::Table out;
+  routing::RouteTable out;
   out.epoch = record.epoch;
   for (const auto& [area, home] : record.homes) {
     out.rules[area] = {out.origins.size(), out.origins.size(), 0, routing::Rule::Loads::from};
     out.origins.push_back(home.origin);
   }
-  for (const Running& running : record.plans) {
+  for (const PlanProgress& running : record.plans) {
     const std::size_t place = place_of(record, session, running.plan.name);
     std::vector<std::uint32_t> moved;  // by stage
     for (const Stage& stage : running.plan.stages)
-      moved.push_back(first(place, record, stage.edges)
-                          ? static_cast<std::uint32_t>(std::lround(stage.traffic * routing::Rule::kAll))
-                          : 0);
+      moved.push_back(
+          first(place, record, stage.edge_share)
+              ? static_cast<std::uint32_t>(std::lround(stage.traffic_share * routing::Rule::kAllRequests))
+              : 0);
     std::map<std::string, std::size_t> at;
     for (const auto& [name, origin] : running.plan.origins)
       at[name] = out.origins.size(), out.origins.push_back(origin);
@@ -141,10 +143,10 @@
       const std::size_t step = running.steps[i];
       routing::Rule rule{at[move.from], at[move.to], 0, routing::Rule::Loads::from};
       if (step > running.plan.stages.size()) {
-        rule.moved = routing::Rule::kAll;
-        rule.loads = step == running.done() ? routing::Rule::Loads::to : routing::Rule::Loads::nowhere;
+        rule.moved_requests = routing::Rule::kAllRequests;
+        rule.loads = step == running.done_step() ? routing::Rule::Loads::to : routing::Rule::Loads::nowhere;
       } else if (step > 0) {
-        rule.moved = moved[step - 1];
+        rule.moved_requests = moved[step - 1];
       }
       out.rules[move.area] = rule;
     }
--- a/src/migration/record.h
+++ b/src/migration/record.h
@@ -17,44 +17,45 @@
 namespace yokestream::migration {
 
 // A move's step: 0 waiting, 1 ... n its stages, then its loads stopped, then done.
-struct Running {
+struct PlanProgress {
   Plan plan;
   std::vector<std::size_t> steps;  // by move
-  bool back = false;               // the way back
+  bool rolling_back = false;       // the way back
   bool halted = false;
-  std::string why;  // halted, or on its way back
-  std::size_t stopped() const { return plan.stages.size() + 1; }
-  std::size_t done() const { return plan.stages.size() + 2; }
-  bool operator==(const Running&) const = default;
+  std::string cause;  // halted, or on its way back
+  std::size_t loads_stopped_step() const { return plan.stages.size() + 1; }
+  std::size_t done_step() const { return plan.stages.size() + 2; }
+  bool operator==(const PlanProgress&) const = default;
 };
 struct Home {
   std::string name;
   routing::Origin origin;
   bool operator==(const Home&) const = default;
 };
-struct Record {
+struct MigrationRecord {
   std::int64_t epoch = -1;
-  store::Revision term = 0;                   // of the owner that wrote it (S1)
+  store::Revision fencing_token = 0;          // of the owner that wrote it (S1)
   std::map<std::string, std::string> roster;  // who may act on it: the manager's name, by session
   std::map<TableGroupId, Home> homes;         // of areas that have moved
-  std::vector<Running> plans;
-  std::map<std::string, std::string> ended;  // what became of plans that are over, kMostEnded at most
-  bool operator==(const Record&) const = default;
+  std::vector<PlanProgress> plans;
+  std::map<std::string, std::string> outcomes;  // what became of plans that are over, kMostEnded at most
+  bool operator==(const MigrationRecord&) const = default;
 };
 
-inline constexpr std::size_t kMostPlans = 8, kMostEnded = 16;
+inline constexpr std::size_t kMaxPlans = 8, kMaxOutcomes = 16;
 
 // What staff ask the owner for, as its key's end (duty/names.h): a plan's text, or `halt` or `resume` for
 // one.
-inline constexpr const char* kPlanAsked = "plan/";
-inline constexpr const char* kWishAsked = "wish/";
+inline constexpr const char* kPlanRequestPrefix = "plan/";
+inline constexpr const char* kControlRequestPrefix = "wish/";
 
-std::string encode(const Record& record);
-std::optional<Record> decode_record(std::string_view text);  // nullopt: it makes no sense
+std::string encode(const MigrationRecord& record);
+std::optional<MigrationRecord> decode_record(std::string_view text);  // nullopt: it makes no sense
 
 // What an edge acts on: nullopt, it is not in the roster. `session`: its own.
-std::optional<routing::Table> table_of(const Record& record, const std::string& session);
+std::optional<routing::RouteTable> table_of(const MigrationRecord& record, const std::string& session);
 // Whether this edge is among those that a stage moves: in an order of the plan's own, by name.
-bool among_first(const Record& record, const std::string& session, const std::string& plan, double share);
+bool among_first(const MigrationRecord& record, const std::string& session, const std::string& plan,
+                 double share);
 
 }  // namespace yokestream::migration
--- a/src/migration/status.h
+++ b/src/migration/status.h
@@ -11,7 +11,8 @@
 
 // `living`: facts by session. `duty`: under which name they acknowledge. `asked`: what the owner has not
 // answered yet. Lines, each with its end.
-std::string status(const Record& record, const std::map<std::string, coordination::Fact>& living,
-                   const std::string& duty, const std::map<std::string, std::string>& asked);
+std::string status(const MigrationRecord& record,
+                   const std::map<std::string, coordination::MemberRecord>& living, const std::string& duty,
+                   const std::map<std::string, std::string>& asked);
 
 }  // namespace yokestream::migration
--- a/src/migration/tally.h
+++ b/src/migration/tally.h
@@ -12,16 +12,16 @@
 
 namespace yokestream::migration {
 
-using routing::Tallies;
-using routing::Tally;
+using routing::OutcomeTallies;
+using routing::OutcomeTally;
 
 // Both sides of a plan as the numbers that a fact carries, and their sums.
-std::vector<std::int64_t> numbers(const Tally& left, const Tally& taken);
+std::vector<std::int64_t> numbers(const OutcomeTally& left, const OutcomeTally& taken);
 void add(std::vector<std::int64_t>& sum, const std::vector<std::int64_t>& more, int sign);
 
 struct Verdict {
-  enum class Word { good, too_few, bad } word = Word::good;
-  std::string why;
+  enum class Result { good, too_few, bad } result = Result::good;
+  std::string cause;
 };
 // `span`: the numbers of one span. `back`: on the way back the sides change places.
 Verdict judge(const Gate& gate, const std::vector<std::int64_t>& span, bool back);
--- a/src/net/events.h
+++ b/src/net/events.h
@@ -27,10 +27,10 @@
   queues::Settings queues;
 };
 struct FleetTold {  // which part of the fleet's load this process may count on
-  coordination::Fleet::Allowed allowed;
+  coordination::FleetMember::LoadGrant allowed;
 };
-struct RoutesTold {                     // where requests of areas that move may go, before `until`
-  std::optional<routing::Table> table;  // nullopt: nowhere
+struct RoutesTold {                          // where requests of areas that move may go, before `until`
+  std::optional<routing::RouteTable> table;  // nullopt: nowhere
   Time until{};
 };
 using DriverEvent = std::variant<dispatch::Event, Accepted, Reloaded, FleetTold, RoutesTold>;
--- a/src/net/fleet_keeper.h
+++ b/src/net/fleet_keeper.h
@@ -30,11 +30,11 @@
   FleetKeeper(const config::Config& config, Inbox& inbox, dispatch::Log& log);
   ~FleetKeeper();  // at once; what leave() has not given back ends with its lease
 
-  void arrived() { ++arrived_; }                // a request, for this process's traffic
-  void applied(std::int64_t epoch);             // the core acts on this table from now on
-  void routed(std::int64_t epoch);              // and keeps wholly to this one's routes
-  void tally(const routing::Tallies& tallies);  // what it counted on the sides of what moves
-  void leave();                                 // gives its place and its lease back, as the store allows
+  void arrived() { ++arrived_; }                       // a request, for this process's traffic
+  void applied(std::int64_t epoch);                    // the core acts on this table from now on
+  void routed(std::int64_t epoch);                     // and keeps wholly to this one's routes
+  void tally(const routing::OutcomeTallies& tallies);  // what it counted on the sides of what moves
+  void leave();  // gives its place and its lease back, as the store allows
 
  private:
   void run();
@@ -49,13 +49,13 @@
 
   Inbox& inbox_;
   dispatch::Log& log_;
-  std::optional<migration::Mover> mover_;  // where areas may move; its thread only, as the next
-  coordination::Fleet fleet_;
+  std::optional<migration::MigrationTask> mover_;  // where areas may move; its thread only, as the next
+  coordination::FleetMember fleet_;
   const Duration ask_within_;
   store::Client client_;
-  std::array<store::Watcher, coordination::Fleet::kSlots> watchers_;
-  std::array<std::optional<store::Watch>, coordination::Fleet::kSlots> opened_;
-  coordination::Fleet::Allowed allowed_;
+  std::array<store::Watcher, coordination::FleetMember::kWatchSlots> watchers_;
+  std::array<std::optional<store::WatchRequest>, coordination::FleetMember::kWatchSlots> opened_;
+  coordination::FleetMember::LoadGrant allowed_;
   std::string noted_;
   bool owner_ = false;
   std::uint64_t measured_ = 0;
@@ -64,7 +64,7 @@
   std::atomic<std::uint64_t> arrived_{0};
   std::atomic<std::int64_t> applied_{-1}, routed_{-1};
   std::mutex tallied_;  // guards the next
-  routing::Tallies tallies_;
+  routing::OutcomeTallies tallies_;
   std::int64_t told_epoch_ = -2;  // of the routes, as the core was told last; -1: closed
   Time told_until_{};
   std::atomic<bool> leaving_{false}, over_{false};
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -84,14 +84,14 @@
   std::unique_ptr<FeedFollower> feed_;
   Gate gate_;
   std::unique_ptr<Listener> listener_;
-  std::optional<Together> together_;      // where processes may share the listener
-  std::optional<HandOver> hand_over_;     // the same
-  Time next_look_{}, next_hand_over_{};   // at the others; the core's thread only
-  std::optional<FleetKeeper> keeper_;     // where the fleet shares a store
-  coordination::Fleet::Allowed allowed_;  // the core's thread only, as the next: what it says
-  coordination::Part part_ = 0;           // and what the core acts on
-  std::int64_t applied_ = -1;             // the same: the table that says so
-  std::int64_t routed_ = -1;              // and the routes that it keeps to
+  std::optional<Together> together_;              // where processes may share the listener
+  std::optional<HandOver> hand_over_;             // the same
+  Time next_look_{}, next_hand_over_{};           // at the others; the core's thread only
+  std::optional<FleetKeeper> keeper_;             // where the fleet shares a store
+  coordination::FleetMember::LoadGrant allowed_;  // the core's thread only, as the next: what it says
+  coordination::LoadShare part_ = 0;              // and what the core acts on
+  std::int64_t applied_ = -1;                     // the same: the table that says so
+  std::int64_t routed_ = -1;                      // and the routes that it keeps to
   Time next_tally_{};
   bool alone_ = false;                      // the core's thread only, as the next: others have gone
   bool evacuated_ = false;                  // the core's thread only: the wish that it has carried out
--- a/src/net/server_beside.cpp
+++ b/src/net/server_beside.cpp
@@ -52,8 +52,8 @@
 // Where areas that move may go; counted on a moment less, like parts. The epoch is said to be kept to only
 // when nothing is out any more that it bars.
 void Server::take(const RoutesTold& told) {
-  manager_.apply_routes(now(), told.table.value_or(routing::Table{}),
-                        told.table ? coordination::counted(told.until) : Time::min());
+  manager_.apply_routes(now(), told.table.value_or(routing::RouteTable{}),
+                        told.table ? coordination::with_lease_margin(told.until) : Time::min());
 }
 
 void Server::look_at_routes() {
@@ -66,9 +66,9 @@
 
 // Which part of the fleet's load this process counts on now; told on once the core acts on it.
 void Server::look_at_part() {
-  const auto part = allowed_.at(now());
+  const auto part = allowed_.share_at(now());
   if (part > 0 && std::exchange(part_, part) != part)
-    manager_.set_manager_count(static_cast<double>(coordination::kWhole) / static_cast<double>(part));
+    manager_.set_manager_count(static_cast<double>(coordination::kFullLoad) / static_cast<double>(part));
   if (std::exchange(applied_, allowed_.epoch) != allowed_.epoch) keeper_->applied(allowed_.epoch);
 }
 
--- a/src/operator/read_fleet.cpp
+++ b/src/operator/read_fleet.cpp
@@ -35,24 +35,25 @@
   Section section(told, "fleet", values);
   coordination::Settings fleet;
   fleet.on = section.flag("on", fleet.on);
-  fleet.store = read_addresses(section.at("store"), section.path("store"));
-  fleet.areas = read_areas(section.at("areas"), section.path("areas"));
+  fleet.store_endpoints = read_addresses(section.at("store"), section.path("store"));
+  fleet.movable_areas = read_areas(section.at("areas"), section.path("areas"));
   const Json::Value& prefix = section.at("prefix");
-  if (!prefix.isNull()) fleet.prefix = prefix.isString() ? prefix.asString() : "";
-  if (fleet.prefix.empty() || fleet.prefix.size() > 128 || fleet.prefix.back() == '/')
+  if (!prefix.isNull()) fleet.key_prefix = prefix.isString() ? prefix.asString() : "";
+  if (fleet.key_prefix.empty() || fleet.key_prefix.size() > 128 || fleet.key_prefix.back() == '/')
     throw config::ConfigError(section.path("prefix"), "not 1 to 128 characters without a slash at the end");
-  section.note("prefix", prefix, fleet.prefix);
-  fleet.lease = section.time("lease_ms", fleet.lease, 2000, 600'000);
-  fleet.drift = section.number("drift", fleet.drift, 0, 0.2);
-  fleet.progress = section.time("progress_ms", fleet.progress, 1000, 3'600'000);
-  fleet.look = section.time("look_ms", fleet.look, 200, 600'000);
-  fleet.spread = section.time("spread_ms", fleet.spread, 100, 3'600'000);
-  fleet.ask = section.time("ask_ms", fleet.ask, 50, 60'000);
+  section.note("prefix", prefix, fleet.key_prefix);
+  fleet.lease_duration = section.time("lease_ms", fleet.lease_duration, 2000, 600'000);
+  fleet.clock_drift = section.number("drift", fleet.clock_drift, 0, 0.2);
+  fleet.progress_timeout = section.time("progress_ms", fleet.progress_timeout, 1000, 3'600'000);
+  fleet.inspection_interval = section.time("look_ms", fleet.inspection_interval, 200, 600'000);
+  fleet.reconnect_spread = section.time("spread_ms", fleet.reconnect_spread, 100, 3'600'000);
+  fleet.call_timeout = section.time("ask_ms", fleet.call_timeout, 50, 60'000);
   section.done();
-  if (fleet.on && fleet.store.empty()) throw config::ConfigError(section.path("store"), "no address");
-  if (fleet.ask >= fleet.lease / 3)
+  if (fleet.on && fleet.store_endpoints.empty())
+    throw config::ConfigError(section.path("store"), "no address");
+  if (fleet.call_timeout >= fleet.lease_duration / 3)
     throw config::ConfigError(section.path("ask_ms"), "a third of lease_ms or more");
-  if (fleet.progress <= fleet.look)
+  if (fleet.progress_timeout <= fleet.inspection_interval)
     throw config::ConfigError(section.path("progress_ms"), "not above look_ms");
   return fleet;
 }
--- a/src/routing/routes.cpp
+++ b/src/routing/routes.cpp
@@ -14,17 +14,17 @@
 
 }  // namespace
 
-bool Origin::takes(const config::Member& member) const {
+bool Origin::contains(const config::Member& member) const {
   return among(zones, member.zone) && among(kinds, member.kind) && among(uids, member.uid) &&
          among(cells, member.cell);
 }
 
-void Routes::expect(const std::vector<TableGroupId>& movable) {
+void Router::set_movable_areas(const std::vector<TableGroupId>& movable) {
   movable_ = movable;
   std::sort(movable_.begin(), movable_.end());
 }
 
-void Routes::swap(const Table& table) {
+void Router::install(const RouteTable& table) {
   epoch_ = table.epoch;
   origins_ = table.origins;
   rules_.assign(table.rules.begin(), table.rules.end());
@@ -34,7 +34,7 @@
 
 // Guards against an engine that takes over a slot while a set of before still names it: a slot is given out
 // anew only after keep() dropped its engine, long after that went.
-std::uint32_t Routes::list(const config::Member& member) {
+std::uint32_t Router::register_engine(const config::Member& member) {
   const auto [it, is_new] = engines_.try_emplace(member.uid);
   Engine& engine = it->second;
   if (is_new) {
@@ -48,17 +48,18 @@
   return engine.slot;
 }
 
-void Routes::place(const Engine& engine) {
+void Router::place(const Engine& engine) {
   if (engine.slot >= policy::kMaxEngineSlots) return;
-  for (std::size_t i = 0; i < sets_.size(); ++i) sets_[i].set(engine.slot, origins_[i].takes(engine.member));
+  for (std::size_t i = 0; i < sets_.size(); ++i)
+    sets_[i].set(engine.slot, origins_[i].contains(engine.member));
 }
 
-std::uint32_t Routes::slot(const std::string& uid) const {
+std::uint32_t Router::slot_of(const std::string& uid) const {
   const auto it = engines_.find(uid);
   return it == engines_.end() ? policy::kMaxEngineSlots : it->second.slot;
 }
 
-void Routes::keep(const std::function<bool(const std::string&)>& known) {
+void Router::retain_engines(const std::function<bool(const std::string&)>& known) {
   std::erase_if(engines_, [&](const auto& entry) {
     const bool gone = !known(entry.first);
     if (gone) vacate(entry.second);
@@ -66,30 +67,31 @@
   });
 }
 
-void Routes::vacate(const Engine& engine) {
+void Router::vacate(const Engine& engine) {
   if (engine.slot >= policy::kMaxEngineSlots) return;
   taken_.reset(engine.slot);
   for (auto& set : sets_) set.reset(engine.slot);
 }
 
 // A request stays on its side through all its attempts, as long as the rule does: by its id, not by chance.
-Route Routes::find(Time now, TableGroupId area, bool repeatable, std::string_view request_id) const {
+Route Router::route(Time now, TableGroupId area, bool repeatable, std::string_view request_id) const {
   if (!std::binary_search(movable_.begin(), movable_.end(), area)) return {};
   const auto it =
       std::lower_bound(rules_.begin(), rules_.end(), area,
                        [](const auto& entry, TableGroupId wanted) { return entry.first < wanted; });
   const bool ruled = it != rules_.end() && it->first == area;
   Route route;
-  route.touched = true;
+  route.needs_lease = true;
   route.closed = now >= until_ || epoch_ < 0;
   if (!ruled) return route;  // granted, and no duty has said anything of it: any engine
   const Rule& rule = it->second;
   if (!repeatable) {
     route.closed |= rule.loads == Rule::Loads::nowhere;
-    route.among = &sets_[rule.loads == Rule::Loads::to ? rule.to : rule.from];
+    route.allowed_engines = &sets_[rule.loads == Rule::Loads::to ? rule.to : rule.from];
   } else {
-    route.moved = XXH3_64bits(request_id.data(), request_id.size()) % Rule::kAll < rule.moved;
-    route.among = &sets_[route.moved ? rule.to : rule.from];
+    route.moved =
+        XXH3_64bits(request_id.data(), request_id.size()) % Rule::kAllRequests < rule.moved_requests;
+    route.allowed_engines = &sets_[route.moved ? rule.to : rule.from];
   }
   return route;
 }
--- a/src/routing/routes.h
+++ b/src/routing/routes.h
@@ -30,51 +30,51 @@
 struct Origin {
   std::vector<std::string> zones, kinds, uids;
   std::vector<std::uint64_t> cells;
-  bool takes(const config::Member& member) const;
+  bool contains(const config::Member& member) const;
   bool operator==(const Origin&) const = default;
 };
 
 // Where the requests of one area go: origins by their position in the table.
 struct Rule {
-  static constexpr std::uint32_t kAll = 1'000'000;
+  static constexpr std::uint32_t kAllRequests = 1'000'000;
   enum class Loads { from, nowhere, to };  // what must not run twice
   std::size_t from = 0, to = 0;
-  std::uint32_t moved = 0;  // of kAll requests that may run twice, so many go to `to`
+  std::uint32_t moved_requests = 0;  // of kAll requests that may run twice, so many go to `to`
   Loads loads = Loads::from;
   bool operator==(const Rule&) const = default;
 };
 
-struct Table {
+struct RouteTable {
   std::int64_t epoch = -1;  // -1: none yet
   std::vector<Origin> origins;
   std::map<TableGroupId, Rule> rules;
-  bool operator==(const Table&) const = default;
+  bool operator==(const RouteTable&) const = default;
 };
 
 // Where one request may go.
 struct Route {
-  const EngineSet* among = nullptr;  // nullptr: any engine
-  bool closed = false;               // nowhere now
-  bool touched = false;              // its attempts need the grant
-  bool moved = false;                // may run twice, and is on the new side
+  const EngineSet* allowed_engines = nullptr;  // nullptr: any engine
+  bool closed = false;                         // nowhere now
+  bool needs_lease = false;                    // its attempts need the grant
+  bool moved = false;                          // may run twice, and is on the new side
 };
 
-class Routes {
+class Router {
  public:
   // `movable`: the areas that a duty may touch here. They are closed until a table has come.
-  void expect(const std::vector<TableGroupId>& movable);
-  void swap(const Table& table);               // whole
-  void extend(Time until) { until_ = until; }  // the grant; Time::min(): none
+  void set_movable_areas(const std::vector<TableGroupId>& movable);
+  void install(const RouteTable& table);             // whole
+  void extend_lease(Time until) { until_ = until; }  // the grant; Time::min(): none
 
   // Takes in what the list tells of an engine, and says by which slot sets name it.
-  std::uint32_t list(const config::Member& member);
-  std::uint32_t slot(const std::string& uid) const;                     // kMostSlots: it has none
-  void keep(const std::function<bool(const std::string& uid)>& known);  // and forgets all others
+  std::uint32_t register_engine(const config::Member& member);
+  std::uint32_t slot_of(const std::string& uid) const;                            // kMostSlots: it has none
+  void retain_engines(const std::function<bool(const std::string& uid)>& known);  // and forgets all others
 
-  Route find(Time now, TableGroupId area, bool repeatable, std::string_view request_id) const;
+  Route route(Time now, TableGroupId area, bool repeatable, std::string_view request_id) const;
   std::int64_t epoch() const { return epoch_; }
-  Time until() const { return until_; }
-  bool on() const { return !movable_.empty(); }
+  Time lease_expiry() const { return until_; }
+  bool enabled() const { return !movable_.empty(); }
 
  private:
   struct Engine {
--- a/src/routing/tally.h
+++ b/src/routing/tally.h
@@ -13,12 +13,13 @@
 
 namespace yokestream::routing {
 
-struct Tally {
-  std::int64_t all = 0, served = 0;
-  std::int64_t took_us = 0, told_us = 0;  // of the served: time at the engine, and as told on one's own there
-  bool operator==(const Tally&) const = default;
+struct OutcomeTally {
+  std::int64_t total = 0, served = 0;
+  std::int64_t elapsed_us = 0,
+               estimated_us = 0;  // of the served: time at the engine, and as told on one's own there
+  bool operator==(const OutcomeTally&) const = default;
 };
 // By area; the side left behind, then the new one.
-using Tallies = std::map<policy::TableGroupId, std::pair<Tally, Tally>>;
+using OutcomeTallies = std::map<policy::TableGroupId, std::pair<OutcomeTally, OutcomeTally>>;
 
 }  // namespace yokestream::routing
--- a/src/standin/duty_troubles.cpp
+++ b/src/standin/duty_troubles.cpp
@@ -12,16 +12,16 @@
   ++p.life, ++p.call;
   p.lives = true, p.stopped = false, p.held.clear(), p.watches = {}, p.acting = {};
   p.fleet.reset();  // it uses the mover
-  p.mover = std::make_unique<migration::Mover>(settings_.edges.longest, settings_.duty.drift,
-                                               settings_.edges.without);
-  std::vector<coordination::Duty*> duties;  // as in net/fleet_keeper.cpp: where areas may move
+  p.mover = std::make_unique<migration::MigrationTask>(settings_.edges.longest, settings_.duty.clock_drift,
+                                                       settings_.edges.without);
+  std::vector<coordination::LeaderTask*> duties;  // as in net/fleet_keeper.cpp: where areas may move
   if (settings_.edges.areas > 0) duties.push_back(p.mover.get());
-  p.fleet = std::make_unique<Fleet>(settings_.duty, "n" + std::to_string(at), "1", settings_.processes,
-                                    local(p), std::move(duties));
+  p.fleet = std::make_unique<FleetMember>(settings_.duty, "n" + std::to_string(at), "1", settings_.processes,
+                                          local(p), std::move(duties));
   p.edge = std::make_unique<Edge>(settings_.edges, "n" + std::to_string(at));
-  p.addresses =
-      std::make_unique<store::Addresses>(std::vector<config::Endpoint>(1), random_(), settings_.duty.spread);
-  p.acting = p.fleet->allowed();
+  p.addresses = std::make_unique<store::EndpointRotation>(std::vector<config::Endpoint>(1), random_(),
+                                                          settings_.duty.reconnect_spread);
+  p.acting = p.fleet->load_grant();
   turn(at);
   if (settings_.edges.areas > 0) send(at);
 }
@@ -48,7 +48,7 @@
 void DutyWorld::traffic(std::size_t p, double per_s) { processes_[p]->traffic = per_s, turn(p); }
 void DutyWorld::leave(std::size_t p) {
   ended(p);
-  if (processes_[p]->lives) processes_[p]->fleet->leave(), turn(p);
+  if (processes_[p]->lives) processes_[p]->fleet->begin_leaving(), turn(p);
 }
 
 void DutyWorld::trouble(std::size_t p, std::uint64_t which, double per_s) {
@@ -67,43 +67,47 @@
 }
 
 void DutyWorld::ask(const std::string& what, const std::string& text) {
-  const std::string key = coordination::Names(settings_.duty.prefix).asks() + what;
+  const std::string key = coordination::StoreKeys(settings_.duty.key_prefix).staff_requests() + what;
   store_.handle(now_, store::Txn{{}, {store::Put{key, text, store::LeaseId::none}}, {}});
   changed();
 }
 
 void DutyWorld::propose(const migration::Plan& plan) {
   moves_.plan(plan);
-  ask(migration::kPlanAsked + plan.name, base::write_json(migration::to_json(plan)));
+  ask(migration::kPlanRequestPrefix + plan.name, base::write_json(migration::to_json(plan)));
 }
 
 // ---- what is seen
 
-migration::Record DutyWorld::migrations() const {
-  const auto all =
-      store_.range({coordination::Names(settings_.duty.prefix).state(migration::Mover::kName), {}, 0});
-  return all.empty() ? migration::Record{}
-                     : migration::decode_record(all.front().value).value_or(migration::Record{});
+migration::MigrationRecord DutyWorld::migrations() const {
+  const auto all = store_.range(
+      {coordination::StoreKeys(settings_.duty.key_prefix).task_state(migration::MigrationTask::kName),
+       {},
+       0});
+  return all.empty() ? migration::MigrationRecord{}
+                     : migration::decode_record(all.front().value).value_or(migration::MigrationRecord{});
 }
 
 std::optional<std::size_t> DutyWorld::owner() const {
-  const coordination::Names names(settings_.duty.prefix);
-  const std::string line = names.line(Fleet::kDuty);
-  const auto all = store_.range({line, store::after_prefix(line), 0});
-  const auto first =
-      std::min_element(all.begin(), all.end(), [](auto& a, auto& b) { return a.create < b.create; });
+  const coordination::StoreKeys names(settings_.duty.key_prefix);
+  const std::string line = names.candidates(FleetMember::kLoadShareTask);
+  const auto all = store_.range({line, store::prefix_range_end(line), 0});
+  const auto first = std::min_element(all.begin(), all.end(),
+                                      [](auto& a, auto& b) { return a.create_revision < b.create_revision; });
   if (first == all.end()) return std::nullopt;
   for (std::size_t p = 0; p < processes_.size(); ++p)
-    if (lives(p) && names.line(Fleet::kDuty) + coordination::session_name(fleet(p).session()) == first->key)
+    if (lives(p) && names.candidates(FleetMember::kLoadShareTask) +
+                            coordination::session_name(fleet(p).session_lease()) ==
+                        first->key)
       return p;
   return std::nullopt;
 }
-const Fleet& DutyWorld::fleet(std::size_t p) const { return *processes_[p]->fleet; }
+const FleetMember& DutyWorld::fleet(std::size_t p) const { return *processes_[p]->fleet; }
 bool DutyWorld::lives(std::size_t p) const { return processes_[p]->lives; }
 double DutyWorld::part(std::size_t at) const {
   const Process& p = *processes_[at];
   if (!p.lives) return 0;
-  return static_cast<double>(p.acting.at(local(p))) / static_cast<double>(coordination::kWhole);
+  return static_cast<double>(p.acting.share_at(local(p))) / static_cast<double>(coordination::kFullLoad);
 }
 
 }  // namespace yokestream::standin
--- a/src/standin/duty_world.h
+++ b/src/standin/duty_world.h
@@ -61,7 +61,7 @@
   void leave(std::size_t process);
   void ask(const std::string& what, const std::string& text);  // staff, of the owner (duty/names.h)
   void propose(const migration::Plan& plan);                   // asks for it, and holds it against its order
-  migration::Record migrations() const;                        // as they stand in the store
+  migration::MigrationRecord migrations() const;               // as they stand in the store
   // One of these, or a start, by a number below kTroubles; the last one sets its traffic, too.
   static constexpr unsigned kTroubles = 9;
   void trouble(std::size_t process, std::uint64_t which, double per_s);
@@ -78,7 +78,7 @@
   void all_well(Duration since_start);  // from then on: each is reached, goes on and lives
 
   std::optional<std::size_t> owner() const;  // by the store's line, if it lives
-  const coordination::Fleet& fleet(std::size_t process) const;
+  const coordination::FleetMember& fleet(std::size_t process) const;
   double part(std::size_t process) const;  // of the whole, in force now; 0: it does not live
   bool lives(std::size_t process) const;
   StoreModel& store() { return store_; }
--- a/src/standin/edge.cpp
+++ b/src/standin/edge.cpp
@@ -46,18 +46,18 @@
 Edge::Edge(const EdgeSettings& settings, std::string name) : settings_(settings), name_(std::move(name)) {
   std::vector<TableGroupId> movable;
   for (std::size_t a = 1; a <= settings.areas; ++a) movable.push_back(TableGroupId{a});
-  routes_.expect(movable);
-  routes_.list(engine("old", "a"));
-  routes_.list(engine("new", "b"));
+  routes_.set_movable_areas(movable);
+  routes_.register_engine(engine("old", "a"));
+  routes_.register_engine(engine("new", "b"));
 }
 
-bool Edge::behind(const migration::Mover& mover, Time until) const {
-  const auto& table = mover.table();
+bool Edge::behind(const migration::MigrationTask& mover, Time until) const {
+  const auto& table = mover.routing_table();
   return granted_ != table.has_value() || until_ != until || (table && table->epoch != routes_.epoch());
 }
 
-void Edge::take(const migration::Mover& mover, Time until, Time now, EdgeFigures& figures) {
-  const auto& table = mover.table();
+void Edge::take(const migration::MigrationTask& mover, Time until, Time now, EdgeFigures& figures) {
+  const auto& table = mover.routing_table();
   if (!table) closed_since_.clear();  // closed for want of a grant: that is counted as refused
   for (const auto& [area, rule] : table ? table->rules : std::map<TableGroupId, routing::Rule>{}) {
     if (rule.loads == routing::Rule::Loads::nowhere)
@@ -67,8 +67,8 @@
   }
   granted_ = table.has_value();
   until_ = until;
-  if (table && table->epoch != routes_.epoch()) routes_.swap(*table);
-  routes_.extend(granted_ ? coordination::counted(until) : Time::min());
+  if (table && table->epoch != routes_.epoch()) routes_.install(*table);
+  routes_.extend_lease(granted_ ? coordination::with_lease_margin(until) : Time::min());
 }
 
 // An area that no plan has touched yet goes to its old side here: what is anywhere can't be held to a side.
@@ -78,18 +78,18 @@
   const TableGroupId area{1 + random() % settings_.areas};
   const bool load = draw() < settings_.loads;
   const std::string id = name_ + "/" + std::to_string(++asked_);
-  const auto route = routes_.find(local, area, !load, id);
+  const auto route = routes_.route(local, area, !load, id);
   if (route.closed) {
     ++figures.refused;
     return "";
   }
-  const bool taken = route.among && (*route.among)[routes_.slot("new")];
+  const bool taken = route.allowed_engines && (*route.allowed_engines)[routes_.slot_of("new")];
   const Time until = now + std::chrono::duration_cast<Duration>(settings_.longest * draw());
   ++figures.sent;
   out_.push_back({area, taken, load, id, until});
   if (!load) {
     auto& tally = taken ? tallies_[area].second : tallies_[area].first;
-    ++tally.all, tally.served += !taken || draw() >= settings_.bad;
+    ++tally.total, tally.served += !taken || draw() >= settings_.bad;
   }
   return checker.begins(now, area, taken, load, until, name_);
 }
@@ -98,8 +98,9 @@
   std::erase_if(out_, [&](const Out& out) { return out.until <= now; });
   if (!granted_) return -1;
   for (const Out& out : out_) {
-    const auto route = routes_.find(Time::min(), out.area, !out.load, out.id);
-    if (route.among && !(*route.among)[routes_.slot(out.taken ? "new" : "old")]) return -1;
+    const auto route = routes_.route(Time::min(), out.area, !out.load, out.id);
+    if (route.allowed_engines && !(*route.allowed_engines)[routes_.slot_of(out.taken ? "new" : "old")])
+      return -1;
     if (route.closed && out.load) return -1;
   }
   return routes_.epoch();
--- a/src/standin/edge.h
+++ b/src/standin/edge.h
@@ -51,12 +51,12 @@
  public:
   Edge(const EdgeSettings& settings, std::string name);
   // Whether the core acts on something else than what it may.
-  bool behind(const migration::Mover& mover, Time until) const;
-  void take(const migration::Mover& mover, Time until, Time now, EdgeFigures& figures);
+  bool behind(const migration::MigrationTask& mover, Time until) const;
+  void take(const migration::MigrationTask& mover, Time until, Time now, EdgeFigures& figures);
   // Empty, or the rule that was broken.
   std::string send(Time now, Time local, std::mt19937_64& random, MoveChecker& checker, EdgeFigures& figures);
   std::int64_t acted(Time now);  // the epoch that it acts on wholly; -1: none
-  const migration::Tallies& tallies() const { return tallies_; }
+  const migration::OutcomeTallies& tallies() const { return tallies_; }
 
  private:
   struct Out {
@@ -67,12 +67,12 @@
   };
   const EdgeSettings& settings_;
   const std::string name_;
-  routing::Routes routes_;
+  routing::Router routes_;
   bool granted_ = false;
   Time until_ = Time::min();
   std::uint64_t asked_ = 0;
   std::vector<Out> out_;
-  migration::Tallies tallies_;
+  migration::OutcomeTallies tallies_;
   std::map<TableGroupId, Time> closed_since_;
 };
 
--- a/src/standin/fleet.cpp
+++ b/src/standin/fleet.cpp
@@ -47,15 +47,15 @@
 
 // The parts that the duty comes to, once all have told their traffic.
 void Fleet::share_out() {
-  std::map<std::string, coordination::Fact> living;
+  std::map<std::string, coordination::MemberRecord> living;
   for (const auto& seat : seats_)
     living[std::to_string(seat->index)] = {std::to_string(seat->index), "", seat->per_s, {}, {}};
-  const coordination::Shares shares(settings_.managers);
-  coordination::Table table;
-  while (const auto next = shares.next(table, living)) table = *next;
+  const coordination::LoadShareCalculator shares(settings_.managers);
+  coordination::LoadShareTable table;
+  while (const auto next = shares.next_table(table, living)) table = *next;
   for (const auto& seat : seats_)
-    seat->part = static_cast<double>(table.parts[std::to_string(seat->index)]) /
-                 static_cast<double>(coordination::kWhole);
+    seat->part = static_cast<double>(table.shares[std::to_string(seat->index)]) /
+                 static_cast<double>(coordination::kFullLoad);
 }
 
 void Fleet::later(Time time, std::function<void()> what) {
--- a/src/standin/history.h
+++ b/src/standin/history.h
@@ -23,11 +23,11 @@
   void state(const StoreModel::Change& change);
   void fail(const std::string& rule, const StoreModel::Change& change, const std::string& why);
 
-  const coordination::Names names_;
-  const coordination::Shares shares_;
-  std::map<std::string, store::Revision> line_;               // candidates by key: their create revision
-  std::map<std::string, coordination::Fact> living_, known_;  // now; ever
-  coordination::Table table_;
+  const coordination::StoreKeys names_;
+  const coordination::LoadShareCalculator shares_;
+  std::map<std::string, store::Revision> line_;  // candidates by key: their create revision
+  std::map<std::string, coordination::MemberRecord> living_, known_;  // now; ever
+  coordination::LoadShareTable table_;
   std::string broken_;
 };
 
--- a/src/standin/migration_measure.cpp
+++ b/src/standin/migration_measure.cpp
@@ -75,7 +75,7 @@
   Run run;
   for (Duration until = seconds(30); until <= what.length && !run.ended; until += seconds(5)) {
     world.run(until);
-    run.ended = what.moves && world.migrations().ended.count("south") > 0;
+    run.ended = what.moves && world.migrations().outcomes.count("south") > 0;
     run.took = until - seconds(30);
     if (!world.figures().violation.empty()) break;
   }
@@ -87,30 +87,30 @@
 
 // Nanoseconds of one lookup, of 64 areas among 1,024 and 80 engines.
 double lookup_ns() {
-  routing::Routes routes;
-  routing::Table table;
+  routing::Router routes;
+  routing::RouteTable table;
   table.epoch = 1;
   table.origins = {{{"a"}, {}, {}, {}}, {{"b"}, {}, {}, {}}};
   std::vector<TableGroupId> movable;
   for (std::uint64_t a = 0; a < 1024; ++a) {
     movable.push_back(TableGroupId{a});
     if (a < kAreas)
-      table.rules[TableGroupId{a * 16}] = {0, 1, routing::Rule::kAll / 2, routing::Rule::Loads::from};
+      table.rules[TableGroupId{a * 16}] = {0, 1, routing::Rule::kAllRequests / 2, routing::Rule::Loads::from};
   }
-  routes.expect(movable);
+  routes.set_movable_areas(movable);
   for (int e = 0; e < 80; ++e) {
     config::Member member;
     member.uid = "e" + std::to_string(e), member.zone = e % 2 ? "a" : "b";
-    routes.list(member);
+    routes.register_engine(member);
   }
-  routes.swap(table);
-  routes.extend(Time::max());
+  routes.install(table);
+  routes.extend_lease(Time::max());
   constexpr int kTimes = 2'000'000;
   std::uint64_t moved = 0;
   const auto began = std::chrono::steady_clock::now();
   for (int i = 0; i < kTimes; ++i) {
     const TableGroupId area{static_cast<std::uint64_t>(i * 7) % 1024};
-    moved += routes.find(Time{}, area, true, "0123456789abcdef").moved;
+    moved += routes.route(Time{}, area, true, "0123456789abcdef").moved;
   }
   const double ns =
       std::chrono::duration<double, std::nano>(std::chrono::steady_clock::now() - began).count();
--- a/src/standin/store_json.cpp
+++ b/src/standin/store_json.cpp
@@ -29,11 +29,14 @@
   return {bytes(v["key"]), bytes(v["range_end"]), number(v["revision"])};
 }
 store::Compare compare(const Json::Value& v) {
-  using What = store::Compare::What;
+  using What = store::Compare::Target;
   if (v["result"].asString() != "EQUAL") throw std::runtime_error("no comparison that is played");
   const std::string target = v["target"].asString();
-  const What what = target == "CREATE" ? What::create : target == "MOD" ? What::mod : What::value;
-  const auto revision = what == What::create ? number(v["create_revision"]) : number(v["mod_revision"]);
+  const What what = target == "CREATE" ? What::create_revision
+                    : target == "MOD"  ? What::mod_revision
+                                       : What::value;
+  const auto revision =
+      what == What::create_revision ? number(v["create_revision"]) : number(v["mod_revision"]);
   return {what, bytes(v["key"]), revision, bytes(v["value"])};
 }
 std::vector<store::Op> ops(const Json::Value& list) {
@@ -50,16 +53,16 @@
   Json::Value out;
   out["key"] = store::to_base64(kv.key);
   out["value"] = store::to_base64(kv.value);
-  out["create_revision"] = text(kv.create);
-  out["mod_revision"] = text(kv.mod);
+  out["create_revision"] = text(kv.create_revision);
+  out["mod_revision"] = text(kv.mod_revision);
   out["version"] = text(kv.version);
   if (kv.lease != store::LeaseId::none) out["lease"] = text(static_cast<std::int64_t>(kv.lease));
   return out;
 }
-Json::Value to_json(const store::Ranged& ranged) {
+Json::Value to_json(const store::RangeResult& ranged) {
   Json::Value out(Json::objectValue);
-  for (const auto& kv : ranged.all) out["kvs"].append(to_json(kv));
-  out["count"] = text(static_cast<std::int64_t>(ranged.all.size()));
+  for (const auto& kv : ranged.key_values) out["kvs"].append(to_json(kv));
+  out["count"] = text(static_cast<std::int64_t>(ranged.key_values.size()));
   return out;
 }
 Json::Value header(store::Revision revision) {
@@ -74,15 +77,15 @@
 store::Request decode_request(int kind, const std::string& body) {
   const Json::Value v = parse(body);
   if (kind == 1) return range(v);
-  if (kind == 2) return store::Grant{number(v["TTL"])};
-  if (kind == 3) return store::KeepAlive{store::LeaseId(number(v["ID"]))};
-  if (kind == 4) return store::Revoke{store::LeaseId(number(v["ID"]))};
+  if (kind == 2) return store::GrantLease{number(v["TTL"])};
+  if (kind == 3) return store::KeepLeaseAlive{store::LeaseId(number(v["ID"]))};
+  if (kind == 4) return store::RevokeLease{store::LeaseId(number(v["ID"]))};
   store::Txn txn{{}, ops(v["success"]), ops(v["failure"])};
-  for (const auto& c : v["compare"]) txn.when.push_back(compare(c));
+  for (const auto& c : v["compare"]) txn.compares.push_back(compare(c));
   return txn;
 }
 
-store::Watch decode_watch(const std::string& body) {
+store::WatchRequest decode_watch(const std::string& body) {
   const Json::Value v = parse(body)["create_request"];
   return {bytes(v["key"]), bytes(v["range_end"]), number(v["start_revision"])};
 }
@@ -94,7 +97,7 @@
   if (const auto* txn = std::get_if<store::Txn>(&request)) {
     if (done.succeeded) out["succeeded"] = true;  // the gateway leaves out what is false
     std::size_t next = 0;
-    for (const auto& op : done.succeeded ? txn->then : txn->otherwise) {
+    for (const auto& op : done.succeeded ? txn->on_success : txn->on_failure) {
       Json::Value one;
       if (std::holds_alternative<store::Range>(op))
         one["response_range"] = to_json(done.ranges[next++]);
@@ -106,11 +109,11 @@
   } else if (std::holds_alternative<store::Range>(request)) {
     for (const auto& [name, value] : {std::pair{"kvs", to_json(done.ranges[0])["kvs"]}})
       if (!value.isNull()) out[name] = value;
-  } else if (!std::holds_alternative<store::Revoke>(request)) {
+  } else if (!std::holds_alternative<store::RevokeLease>(request)) {
     out["ID"] = text(static_cast<std::int64_t>(done.lease));
     if (done.ttl_s > 0) out["TTL"] = text(done.ttl_s);
   }
-  if (!std::holds_alternative<store::KeepAlive>(request)) return base::write_json(out);
+  if (!std::holds_alternative<store::KeepLeaseAlive>(request)) return base::write_json(out);
   Json::Value stream;
   stream["result"] = out;
   return base::write_json(stream) + "\n";
@@ -123,16 +126,16 @@
   return base::write_json(out);
 }
 
-std::string encode_watched(const store::Watched& watched) {
+std::string encode_watched(const store::WatchResponse& watched) {
   Json::Value result;
   result["header"] = header(watched.revision);
   if (watched.created) result["created"] = true;
   if (watched.canceled) result["canceled"] = true;
-  if (watched.compacted > 0) result["compact_revision"] = text(watched.compacted);
+  if (watched.compact_revision > 0) result["compact_revision"] = text(watched.compact_revision);
   for (const auto& event : watched.events) {
     Json::Value one;
     if (event.kind == store::WatchEvent::Kind::removed) one["type"] = "DELETE";
-    one["kv"] = to_json(event.now);
+    one["kv"] = to_json(event.key_value);
     result["events"].append(one);
   }
   Json::Value out;
--- a/src/standin/store_json.h
+++ b/src/standin/store_json.h
@@ -9,9 +9,9 @@
 namespace yokestream::standin {
 
 store::Request decode_request(int kind, const std::string& body);  // `kind`: the place in store::Request
-store::Watch decode_watch(const std::string& body);
+store::WatchRequest decode_watch(const std::string& body);
 std::string encode_answer(const store::Request& request, const StoreAnswer& answer);
 std::string encode_error(const StoreAnswer& answer);
-std::string encode_watched(const store::Watched& watched);  // a line
+std::string encode_watched(const store::WatchResponse& watched);  // a line
 
 }  // namespace yokestream::standin
--- a/src/standin/store_model.cpp
+++ b/src/standin/store_model.cpp
@@ -5,7 +5,7 @@
 
 namespace yokestream::standin {
 
-using store::Done;
+using store::Completed;
 using store::KeyValue;
 using store::Revision;
 
@@ -49,8 +49,8 @@
   const auto it = keys_.find(c.key);
   const KeyValue absent;
   const KeyValue& kv = it == keys_.end() ? absent : it->second;
-  if (c.what == store::Compare::What::create) return kv.create == c.revision;
-  if (c.what == store::Compare::What::mod) return kv.mod == c.revision;
+  if (c.target == store::Compare::Target::create_revision) return kv.create_revision == c.revision;
+  if (c.target == store::Compare::Target::mod_revision) return kv.mod_revision == c.revision;
   return it != keys_.end() && kv.value == c.value;
 }
 
@@ -59,15 +59,15 @@
 }
 
 void StoreModel::note(Change change) {
-  by_key_[change.event.now.key].push_back(history_.size());
+  by_key_[change.event.key_value.key].push_back(history_.size());
   history_.push_back(std::move(change));
 }
 
 void StoreModel::put(Time now, const store::Put& put, Revision at) {
   KeyValue& kv = keys_[put.key];
   unhang(kv);
-  if (kv.create == 0) kv.create = at, kv.key = put.key;
-  kv.mod = at, kv.value = put.value, kv.lease = put.lease, ++kv.version;
+  if (kv.create_revision == 0) kv.create_revision = at, kv.key = put.key;
+  kv.mod_revision = at, kv.value = put.value, kv.lease = put.lease, ++kv.version;
   if (put.lease != store::LeaseId::none) leases_[put.lease].keys.insert(put.key);
   note({at, now, {store::WatchEvent::Kind::put, kv}});
 }
@@ -76,7 +76,7 @@
   bool any = false;
   for (auto it = keys_.lower_bound(del.key); it != keys_.end() && within(it->first, del.key, del.end);) {
     KeyValue gone;
-    gone.key = it->first, gone.mod = at;
+    gone.key = it->first, gone.mod_revision = at;
     note({at, now, {store::WatchEvent::Kind::removed, gone}});
     unhang(it->second);
     it = keys_.erase(it);
@@ -87,8 +87,9 @@
 
 StoreAnswer StoreModel::on(Time now, const store::Txn& txn) {
   StoreAnswer out;
-  out.done.succeeded = std::all_of(txn.when.begin(), txn.when.end(), [&](const auto& c) { return holds(c); });
-  const auto& ops = out.done.succeeded ? txn.then : txn.otherwise;
+  out.done.succeeded =
+      std::all_of(txn.compares.begin(), txn.compares.end(), [&](const auto& c) { return holds(c); });
+  const auto& ops = out.done.succeeded ? txn.on_success : txn.on_failure;
   for (const auto& op : ops) {
     const auto* put = std::get_if<store::Put>(&op);
     if (put && put->lease != store::LeaseId::none && !leases_.count(put->lease))
@@ -106,16 +107,16 @@
 }
 
 StoreAnswer StoreModel::on(Time, const store::Range& asked) {
-  if (asked.at > 0 && asked.at < compacted_)
+  if (asked.revision > 0 && asked.revision < compacted_)
     return {kOutOfRange, "etcdserver: mvcc: required revision has been compacted", {}};
-  if (asked.at > revision_)
+  if (asked.revision > revision_)
     return {kOutOfRange, "etcdserver: mvcc: required revision is a future revision", {}};
   StoreAnswer out;
   out.done.ranges.push_back({range(asked)});
   return out;
 }
 
-StoreAnswer StoreModel::on(Time now, const store::Grant& grant) {
+StoreAnswer StoreModel::on(Time now, const store::GrantLease& grant) {
   StoreAnswer out;
   out.done.lease = store::LeaseId(++last_lease_);
   out.done.ttl_s = std::max<std::int64_t>(1, grant.ttl_s);
@@ -124,7 +125,7 @@
   return out;
 }
 
-StoreAnswer StoreModel::on(Time now, const store::KeepAlive& keep) {
+StoreAnswer StoreModel::on(Time now, const store::KeepLeaseAlive& keep) {
   StoreAnswer out;
   out.done.lease = keep.lease;
   const auto it = leases_.find(keep.lease);
@@ -134,7 +135,7 @@
   return out;
 }
 
-StoreAnswer StoreModel::on(Time now, const store::Revoke& revoke) {
+StoreAnswer StoreModel::on(Time now, const store::RevokeLease& revoke) {
   if (!leases_.count(revoke.lease)) return {kNotFound, "etcdserver: requested lease not found", {}};
   end(now, revoke.lease);
   return {};
@@ -148,39 +149,40 @@
       out.push_back(it->second);
     return out;
   };
-  if (asked.at == 0 || asked.at >= revision_) return select(keys_);
+  if (asked.revision == 0 || asked.revision >= revision_) return select(keys_);
   std::map<std::string, KeyValue> then;
   for (const auto& change : history_) {
-    if (change.revision > asked.at) break;
+    if (change.revision > asked.revision) break;
     if (change.event.kind == store::WatchEvent::Kind::put)
-      then[change.event.now.key] = change.event.now;
+      then[change.event.key_value.key] = change.event.key_value;
     else
-      then.erase(change.event.now.key);
+      then.erase(change.event.key_value.key);
   }
   return select(then);
 }
 
-StoreAnswer StoreModel::check(const store::Watch& watch) const {
-  if (watch.from > 0 && watch.from <= compacted_)
+StoreAnswer StoreModel::check(const store::WatchRequest& watch) const {
+  if (watch.start_revision > 0 && watch.start_revision <= compacted_)
     return {kOutOfRange, "etcdserver: mvcc: required revision has been compacted", {}};
   return {};
 }
 
-std::vector<std::pair<Revision, store::WatchEvent>> StoreModel::events(const store::Watch& watch) const {
+std::vector<std::pair<Revision, store::WatchEvent>> StoreModel::events(
+    const store::WatchRequest& watch) const {
   std::vector<std::pair<Revision, store::WatchEvent>> out;
   if (watch.end.empty()) {  // one key
     const auto of_key = by_key_.find(watch.key);
     if (of_key == by_key_.end()) return out;
     const auto& at = of_key->second;
     const auto after = [&](std::size_t i, Revision r) { return history_[i].revision < r; };
-    for (auto it = std::lower_bound(at.begin(), at.end(), watch.from, after); it != at.end(); ++it)
+    for (auto it = std::lower_bound(at.begin(), at.end(), watch.start_revision, after); it != at.end(); ++it)
       out.emplace_back(history_[*it].revision, history_[*it].event);
     return out;
   }
-  const auto first = std::lower_bound(history_.begin(), history_.end(), watch.from,
+  const auto first = std::lower_bound(history_.begin(), history_.end(), watch.start_revision,
                                       [](const Change& c, Revision r) { return c.revision < r; });
   for (auto it = first; it != history_.end(); ++it)
-    if (within(it->event.now.key, watch.key, watch.end)) out.emplace_back(it->revision, it->event);
+    if (within(it->event.key_value.key, watch.key, watch.end)) out.emplace_back(it->revision, it->event);
   return out;
 }
 
--- a/src/standin/store_model.h
+++ b/src/standin/store_model.h
@@ -20,7 +20,7 @@
 struct StoreAnswer {
   int code = 0;
   std::string message;
-  store::Done done;
+  store::Completed done;
 };
 
 class StoreModel {
@@ -31,8 +31,8 @@
   void expire(Time now);  // what hung on leases that have ended goes
   Time next_expiry() const;
   // Events of `watch` from its revision on, in order; code 11 where they are compacted.
-  StoreAnswer check(const store::Watch& watch) const;
-  std::vector<std::pair<store::Revision, store::WatchEvent>> events(const store::Watch& watch) const;
+  StoreAnswer check(const store::WatchRequest& watch) const;
+  std::vector<std::pair<store::Revision, store::WatchEvent>> events(const store::WatchRequest& watch) const;
 
   store::Revision revision() const { return revision_; }
   std::vector<store::KeyValue> range(const store::Range& range) const;
@@ -58,9 +58,9 @@
 
   StoreAnswer on(Time now, const store::Txn& txn);
   StoreAnswer on(Time now, const store::Range& range);
-  StoreAnswer on(Time now, const store::Grant& grant);
-  StoreAnswer on(Time now, const store::KeepAlive& keep);
-  StoreAnswer on(Time now, const store::Revoke& revoke);
+  StoreAnswer on(Time now, const store::GrantLease& grant);
+  StoreAnswer on(Time now, const store::KeepLeaseAlive& keep);
+  StoreAnswer on(Time now, const store::RevokeLease& revoke);
   void lasts(Time ends, store::LeaseId lease);
   void end(Time now, store::LeaseId lease);
 
--- a/src/standin/store_server.cpp
+++ b/src/standin/store_server.cpp
@@ -79,33 +79,31 @@
 }
 
 void StoreServer::watch(const httplib::Request& asked, httplib::Response& response) {
-  auto watch = std::make_shared<store::Watch>(decode_watch(asked.body));
+  auto watch = std::make_shared<store::WatchRequest>(decode_watch(asked.body));
   auto begun = std::make_shared<bool>(false);
-  response.set_chunked_content_provider("application/json",
-                                        [this, watch, begun](size_t, httplib::DataSink& sink) {
-                                          store::Watched out;
-                                          {
-                                            std::unique_lock lock(mutex_);
-                                            if (over_) return false;
-                                            out.revision = model_.revision();
-                                            if (watch->from == 0) watch->from = model_.revision() + 1;
-                                            out.created = !std::exchange(*begun, true);
-                                            if (model_.check(*watch).code != 0) {
-                                              out.canceled = true, out.compacted = model_.revision();
-                                            } else {
-                                              auto events = model_.events(*watch);
-                                              if (events.empty() && !out.created)
-                                                news_.wait_for(lock, kLook), events = model_.events(*watch);
-                                              out.revision = model_.revision();
-                                              for (auto& [revision, event] : events)
-                                                out.events.push_back(event), watch->from = revision + 1;
-                                            }
-                                          }
-                                          if (out.events.empty() && !out.created && !out.canceled)
-                                            return sink.is_writable();
-                                          const std::string line = encode_watched(out);
-                                          return sink.write(line.data(), line.size()) && !out.canceled;
-                                        });
+  response.set_chunked_content_provider(
+      "application/json", [this, watch, begun](size_t, httplib::DataSink& sink) {
+        store::WatchResponse out;
+        {
+          std::unique_lock lock(mutex_);
+          if (over_) return false;
+          out.revision = model_.revision();
+          if (watch->start_revision == 0) watch->start_revision = model_.revision() + 1;
+          out.created = !std::exchange(*begun, true);
+          if (model_.check(*watch).code != 0) {
+            out.canceled = true, out.compact_revision = model_.revision();
+          } else {
+            auto events = model_.events(*watch);
+            if (events.empty() && !out.created) news_.wait_for(lock, kLook), events = model_.events(*watch);
+            out.revision = model_.revision();
+            for (auto& [revision, event] : events)
+              out.events.push_back(event), watch->start_revision = revision + 1;
+          }
+        }
+        if (out.events.empty() && !out.created && !out.canceled) return sink.is_writable();
+        const std::string line = encode_watched(out);
+        return sink.write(line.data(), line.size()) && !out.canceled;
+      });
 }
 
 }  // namespace yokestream::standin
--- a/src/standin/trace.cpp
+++ b/src/standin/trace.cpp
@@ -84,7 +84,7 @@
 };
 
 std::string describe_key(const store::KeyValue& kv) {
-  return line(kv.key, kv.value, kv.create, kv.mod, kv.version, kv.lease);
+  return line(kv.key, kv.value, kv.create_revision, kv.mod_revision, kv.version, kv.lease);
 }
 
 }  // namespace
@@ -98,24 +98,25 @@
 std::string describe(const Event& event) { return std::visit(EventWords{}, event); }
 
 std::string describe(const store::Request& request) {
-  const store::Call call = store::encode(request);
+  const store::GatewayCall call = store::encode(request);
   return line("ask", call.path, call.body, call.writes);
 }
 
 std::string describe(const store::Reply& reply) {
-  if (std::holds_alternative<store::Unknown>(reply)) return "reply unknown";
+  if (std::holds_alternative<store::OutcomeUnknown>(reply)) return "reply unknown";
   if (const auto* failed = std::get_if<store::Failed>(&reply)) return line("reply failed", failed->compacted);
-  const auto& done = std::get<store::Done>(reply);
+  const auto& done = std::get<store::Completed>(reply);
   std::string out = line("reply done", done.revision, done.succeeded, done.lease, done.ttl_s);
   for (const auto& ranged : done.ranges)
-    for (const auto& kv : ranged.all) out += " | " + describe_key(kv);
+    for (const auto& kv : ranged.key_values) out += " | " + describe_key(kv);
   return out;
 }
 
-std::string describe(const store::Watched& message) {
-  std::string out = line("watched", message.revision, message.created, message.canceled, message.compacted);
+std::string describe(const store::WatchResponse& message) {
+  std::string out =
+      line("watched", message.revision, message.created, message.canceled, message.compact_revision);
   for (const auto& event : message.events)
-    out += line(" |", event.kind == store::WatchEvent::Kind::put, describe_key(event.now));
+    out += line(" |", event.kind == store::WatchEvent::Kind::put, describe_key(event.key_value));
   return out;
 }
 
--- a/src/standin/trace.h
+++ b/src/standin/trace.h
@@ -20,7 +20,7 @@
 // One request to the store, one of its replies, one message of a watch.
 std::string describe(const store::Request& request);
 std::string describe(const store::Reply& reply);
-std::string describe(const store::Watched& message);
+std::string describe(const store::WatchResponse& message);
 
 // A number with all its bits, in base 16.
 std::string exact(double x);
--- a/src/store/addresses.cpp
+++ b/src/store/addresses.cpp
@@ -5,7 +5,7 @@
 
 namespace yokestream::store {
 
-Addresses::Addresses(std::vector<config::Endpoint> all, std::uint64_t seed, Duration spread)
+EndpointRotation::EndpointRotation(std::vector<config::Endpoint> all, std::uint64_t seed, Duration spread)
     : all_(std::move(all)),
       spread_(spread),
       random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)) {
@@ -13,7 +13,7 @@
   at_ = random_() % all_.size();
 }
 
-void Addresses::answered(Time) {
+void EndpointRotation::record_success(Time) {
   failed_in_row_ = 0;
   wait_ = kFirstWait;
   not_before_ = Time::min();
@@ -22,7 +22,7 @@
 
 // Guards the store against all managers at once, when it comes back: those that have waited for long find
 // their moment anywhere within the whole spread, whatever their last failure was.
-void Addresses::failed(Time now) {
+void EndpointRotation::record_failure(Time now) {
   away_since_ = std::min(away_since_, now);
   at_ = (at_ + 1) % all_.size();
   if (++failed_in_row_ % all_.size() != 0) return;  // another one may answer at once
--- a/src/store/addresses.h
+++ b/src/store/addresses.h
@@ -19,17 +19,17 @@
 using policy::Duration;
 using policy::Time;
 
-class Addresses {
+class EndpointRotation {
  public:
   static constexpr Duration kFirstWait = std::chrono::milliseconds(200);
   static constexpr int kTimesAway = 10;
 
-  Addresses(std::vector<config::Endpoint> all, std::uint64_t seed, Duration spread);
+  EndpointRotation(std::vector<config::Endpoint> all, std::uint64_t seed, Duration spread);
 
   const config::Endpoint& current() const { return all_[at_]; }
-  Time not_before() const { return not_before_; }
-  void answered(Time now);
-  void failed(Time now);
+  Time next_attempt_at() const { return not_before_; }
+  void record_success(Time now);
+  void record_failure(Time now);
 
  private:
   const std::vector<config::Endpoint> all_;  // one at least
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -39,7 +39,7 @@
 std::optional<Answer> read_answer(net::Socket& socket, net::Time deadline) {
   http::response_parser<http::string_body> parser;
   parser.eager(true);
-  parser.body_limit(kMostReply);
+  parser.body_limit(kMaxReplyBytes);
   std::string held;  // come, and not taken by the parser yet
   std::array<char, kReadBytes> bytes;
   while (!parser.is_done()) {
@@ -55,7 +55,7 @@
     const auto taken = parser.put(boost::asio::buffer(held), error);
     held.erase(0, taken);
     if (error && error != http::error::need_more) return std::nullopt;
-    if (held.size() > kMostReply) return std::nullopt;
+    if (held.size() > kMaxReplyBytes) return std::nullopt;
   }
   return Answer{parser.get().result_int(), std::move(parser.get().body()),
                 parser.get().keep_alive() && held.empty()};
@@ -63,7 +63,7 @@
 
 }  // namespace
 
-std::string http_of(const Call& call, const config::Endpoint& to) {
+std::string http_of(const GatewayCall& call, const config::Endpoint& to) {
   http::request<http::string_body> request(http::verb::post, call.path, 11);
   request.set(http::field::host, to_string(to));
   request.set(http::field::content_type, "application/json");
@@ -74,17 +74,17 @@
   return out.str();
 }
 
-net::Socket* Stoppable::renew() {
+net::Socket* CancellableSocket::renew() {
   const std::lock_guard lock(mutex_);
   if (stopped_) return nullptr;
   socket_ = std::make_unique<net::Socket>();
   return socket_.get();
 }
-void Stoppable::drop() {
+void CancellableSocket::drop() {
   const std::lock_guard lock(mutex_);
   if (!stopped_) socket_.reset();
 }
-void Stoppable::stop() {
+void CancellableSocket::stop() {
   const std::lock_guard lock(mutex_);
   stopped_ = true;
   if (socket_) socket_->break_off();
@@ -102,27 +102,27 @@
   return fresh && fresh->connect(addresses_.current(), deadline, failure) ? fresh : nullptr;
 }
 
-Reply Client::ask(const Request& request, net::Time deadline) {
-  if (net::now() < addresses_.not_before()) return Failed{"the store is away", false};
+Reply Client::call(const Request& request, net::Time deadline) {
+  if (net::now() < addresses_.next_attempt_at()) return Failed{"the store is away", false};
   net::ConnectFailure failure;
   net::Socket* socket = connected(deadline, &failure);
   if (!socket) {
     connection_.drop();
-    addresses_.failed(net::now());
+    addresses_.record_failure(net::now());
     return Failed{failure.why, false};
   }
-  const Call call = encode(request);
+  const GatewayCall call = encode(request);
   const std::string bytes = http_of(call, addresses_.current());
   const auto written = write_by(*socket, bytes, deadline);
   const auto answer = written == bytes.size() ? read_answer(*socket, deadline) : std::nullopt;
   if (!answer || !answer->keep) connection_.drop();
   if (answer) {
-    addresses_.answered(net::now());
+    addresses_.record_success(net::now());
     return decode(request, answer->status, answer->body);
   }
-  addresses_.failed(net::now());
+  addresses_.record_failure(net::now());
   if (written == 0u || !call.writes) return Failed{"no answer", false};
-  return Unknown{"no answer"};
+  return OutcomeUnknown{"no answer"};
 }
 
 }  // namespace yokestream::store
--- a/src/store/client.h
+++ b/src/store/client.h
@@ -16,14 +16,14 @@
 
 namespace yokestream::store {
 
-inline constexpr std::size_t kMostReply = 4 * 1024 * 1024;
+inline constexpr std::size_t kMaxReplyBytes = 4 * 1024 * 1024;
 
 // The bytes of a call, as they leave.
-struct Call;
-std::string http_of(const Call& call, const config::Endpoint& to);
+struct GatewayCall;
+std::string http_of(const GatewayCall& call, const config::Endpoint& to);
 
 // A socket that any thread may break off, and no new one taken after that.
-class Stoppable {
+class CancellableSocket {
  public:
   net::Socket* renew();  // nullptr: stopped
   net::Socket* get() { return socket_.get(); }
@@ -42,17 +42,17 @@
   Client(std::vector<config::Endpoint> addresses, std::uint64_t seed, net::Time::duration spread);
 
   // Asks, by `deadline`; before not_before() it fails at once.
-  Reply ask(const Request& request, net::Time deadline);
-  net::Time not_before() const { return addresses_.not_before(); }
-  const config::Endpoint& address() const { return addresses_.current(); }
-  void failed_elsewhere(net::Time now) { addresses_.failed(now); }  // a watch at this address
+  Reply call(const Request& request, net::Time deadline);
+  net::Time next_attempt_at() const { return addresses_.next_attempt_at(); }
+  const config::Endpoint& endpoint() const { return addresses_.current(); }
+  void record_watch_failure(net::Time now) { addresses_.record_failure(now); }  // a watch at this address
   void stop() { connection_.stop(); }  // whatever is being asked ends at once, and all that follows
 
  private:
   net::Socket* connected(net::Time deadline, net::ConnectFailure* failure);
 
-  Addresses addresses_;
-  Stoppable connection_;
+  EndpointRotation addresses_;
+  CancellableSocket connection_;
 };
 
 }  // namespace yokestream::store
--- a/src/store/values.h
+++ b/src/store/values.h
@@ -17,13 +17,13 @@
 using Revision = std::int64_t;
 enum class LeaseId : std::int64_t { none = 0 };
 
-inline constexpr std::size_t kMostValue = 64 * 1024;  // bytes of one value, either way
-inline constexpr std::size_t kMostKey = 1024;
-inline constexpr std::size_t kMostOps = 128;  // of one transaction: the store's own usual bound
+inline constexpr std::size_t kMaxValueBytes = 64 * 1024;  // bytes of one value, either way
+inline constexpr std::size_t kMaxKeyBytes = 1024;
+inline constexpr std::size_t kMaxTransactionOps = 128;  // of one transaction: the store's own usual bound
 
 struct KeyValue {
   std::string key, value;
-  Revision create = 0, mod = 0;
+  Revision create_revision = 0, mod_revision = 0;
   std::int64_t version = 0;
   LeaseId lease = LeaseId::none;
   bool operator==(const KeyValue&) const = default;
@@ -32,7 +32,7 @@
 // ---- requests
 
 struct Compare {
-  enum class What { create, mod, value } what = What::create;
+  enum class Target { create_revision, mod_revision, value } target = Target::create_revision;
   std::string key;
   Revision revision = 0;  // `create`, `mod`: equal to this; 0: the key is absent
   std::string value;      // `value`: equal to this
@@ -45,67 +45,67 @@
   std::string key, end;  // up to `end`, not included; empty: the one key
 };
 struct Range {
-  std::string key, end;  // as Delete
-  Revision at = 0;       // as of this revision; 0: now
+  std::string key, end;   // as Delete
+  Revision revision = 0;  // as of this revision; 0: now
   bool operator==(const Range&) const = default;
 };
 using Op = std::variant<Put, Delete, Range>;
 struct Txn {
-  std::vector<Compare> when;
-  std::vector<Op> then, otherwise;
+  std::vector<Compare> compares;
+  std::vector<Op> on_success, on_failure;
 };
-struct Grant {
+struct GrantLease {
   std::int64_t ttl_s = 0;
 };
-struct KeepAlive {
+struct KeepLeaseAlive {
   LeaseId lease{};
 };
-struct Revoke {
+struct RevokeLease {
   LeaseId lease{};
 };
-struct Watch {
+struct WatchRequest {
   std::string key, end;
-  Revision from = 0;  // first revision that is told
+  Revision start_revision = 0;  // first revision that is told
 };
-using Request = std::variant<Txn, Range, Grant, KeepAlive, Revoke>;
+using Request = std::variant<Txn, Range, GrantLease, KeepLeaseAlive, RevokeLease>;
 
 // ---- replies
 
-struct Ranged {
-  std::vector<KeyValue> all;
-  bool operator==(const Ranged&) const = default;
+struct RangeResult {
+  std::vector<KeyValue> key_values;
+  bool operator==(const RangeResult&) const = default;
 };
-struct Done {
-  Revision revision = 0;       // of the store when it answered
-  bool succeeded = true;       // Txn: the comparisons held; else `otherwise` was carried out
-  std::vector<Ranged> ranges;  // of the Range operations, in order; one for a Range
-  LeaseId lease{};             // Grant, KeepAlive
-  std::int64_t ttl_s = 0;      // the same; KeepAlive of a lease that is gone: 0
+struct Completed {
+  Revision revision = 0;            // of the store when it answered
+  bool succeeded = true;            // Txn: the comparisons held; else `otherwise` was carried out
+  std::vector<RangeResult> ranges;  // of the Range operations, in order; one for a Range
+  LeaseId lease{};                  // Grant, KeepAlive
+  std::int64_t ttl_s = 0;           // the same; KeepAlive of a lease that is gone: 0
 };
 // Refused by a comparison is `Done` with succeeded == false. `Failed`: it certainly did not count. `Unknown`:
 // it may have: who asked must read back before it acts on either.
 struct Failed {
-  std::string why;
+  std::string cause;
   bool compacted = false;  // a Range or Watch of a revision that the store no longer holds
 };
-struct Unknown {
-  std::string why;
+struct OutcomeUnknown {
+  std::string cause;
 };
-using Reply = std::variant<Done, Failed, Unknown>;
+using Reply = std::variant<Completed, Failed, OutcomeUnknown>;
 
 struct WatchEvent {
   enum class Kind { put, removed } kind = Kind::put;
-  KeyValue now;
+  KeyValue key_value;
 };
-struct Watched {  // one message of a watch
+struct WatchResponse {  // one message of a watch
   Revision revision = 0;
   std::vector<WatchEvent> events;
   bool created = false, canceled = false;
-  Revision compacted = 0;  // above 0: what was asked for is gone up to here
+  Revision compact_revision = 0;  // above 0: what was asked for is gone up to here
 };
 
 // The end of the range of all keys that begin with `prefix`.
-inline std::string after_prefix(std::string prefix) {
+inline std::string prefix_range_end(std::string prefix) {
   while (!prefix.empty() && static_cast<unsigned char>(prefix.back()) == 0xff) prefix.pop_back();
   if (!prefix.empty()) prefix.back() = static_cast<char>(static_cast<unsigned char>(prefix.back()) + 1);
   return prefix.empty() ? std::string(1, '\0') : prefix;
--- a/src/store/watcher.cpp
+++ b/src/store/watcher.cpp
@@ -33,7 +33,7 @@
   connection_.drop();
 }
 
-bool Watcher::open(const Watch& watch, const config::Endpoint& at, net::Time deadline) {
+bool Watcher::open(const WatchRequest& watch, const config::Endpoint& at, net::Time deadline) {
   close();
   net::Socket* socket = connection_.renew();
   net::ConnectFailure failure;
@@ -47,23 +47,23 @@
 }
 
 // Each message is a line. False: what came is no watch.
-bool Watcher::take_lines(std::deque<Watched>& out) {
+bool Watcher::take_lines(std::deque<WatchResponse>& out) {
   if (!parser_->message.is_header_done()) return true;
   if (parser_->message.get().result_int() != 200) return false;
   std::string& body = parser_->message.get().body();
   std::size_t from = 0;
   for (auto end = body.find('\n'); end != std::string::npos; end = body.find('\n', from)) {
-    const auto watched = decode_watched(std::string_view(body).substr(from, end - from));
+    const auto watched = decode_watch_response(std::string_view(body).substr(from, end - from));
     if (!watched) return false;
     out.push_back(*watched);
     from = end + 1;
   }
   body.erase(0, from);
-  return body.size() <= kMostReply;
+  return body.size() <= kMaxReplyBytes;
 }
 
-std::deque<Watched> Watcher::read() {
-  std::deque<Watched> out;
+std::deque<WatchResponse> Watcher::read() {
+  std::deque<WatchResponse> out;
   std::array<char, kReadBytes> bytes;
   bool good = true;
   while (good && is_open()) {
@@ -75,7 +75,7 @@
     const auto taken = parser_->message.put(boost::asio::buffer(parser_->held), error);
     parser_->held.erase(0, taken);
     good = *size > 0 && (!error || error == http::error::need_more) && !parser_->message.is_done() &&
-           parser_->held.size() <= kMostReply;
+           parser_->held.size() <= kMaxReplyBytes;
     good = take_lines(out) && good;
   }
   if (!good) close();
--- a/src/store/watcher.h
+++ b/src/store/watcher.h
@@ -18,19 +18,19 @@
   Watcher();
   ~Watcher();
   // False: it is not open, nor is one from before.
-  bool open(const Watch& watch, const config::Endpoint& at, net::Time deadline);
+  bool open(const WatchRequest& watch, const config::Endpoint& at, net::Time deadline);
   void close();
   void stop() { connection_.stop(); }
   bool is_open() const { return parser_ != nullptr; }
   int descriptor() const;  // to wait on; -1: it is not open
   // Messages that have come; never waits. Once it is over, is_open() is false afterwards.
-  std::deque<Watched> read();
+  std::deque<WatchResponse> read();
 
  private:
   struct Parser;
-  bool take_lines(std::deque<Watched>& out);
+  bool take_lines(std::deque<WatchResponse>& out);
 
-  Stoppable connection_;
+  CancellableSocket connection_;
   std::unique_ptr<Parser> parser_;
 };
 
--- a/src/store/wire.h
+++ b/src/store/wire.h
@@ -11,18 +11,18 @@
 
 namespace yokestream::store {
 
-struct Call {
+struct GatewayCall {
   std::string path, body;
   bool writes = false;  // it may change something: a lost reply leaves that unknown
 };
 bool may_change(const Request& request);
-Call encode(const Request& request);
-Call encode(const Watch& watch);
+GatewayCall encode(const Request& request);
+GatewayCall encode(const WatchRequest& watch);
 
 // `status`: of HTTP. A reply that makes no sense counts as none: unknown where the call writes, else failed.
 Reply decode(const Request& request, unsigned status, std::string_view body);
 // One line of a watch's stream; nullopt: it makes no sense.
-std::optional<Watched> decode_watched(std::string_view line);
+std::optional<WatchResponse> decode_watch_response(std::string_view line);
 
 std::string to_base64(std::string_view bytes);
 std::optional<std::string> from_base64(std::string_view text);
--- a/src/store/wire_in.cpp
+++ b/src/store/wire_in.cpp
@@ -51,18 +51,18 @@
 }
 KeyValue key_value(const Json::Value& v) {
   KeyValue kv;
-  kv.key = bytes(member(v, "key"), kMostKey);
-  kv.value = bytes(member(v, "value"), kMostValue);
-  kv.create = number(member(v, "create_revision"));
-  kv.mod = number(member(v, "mod_revision"));
+  kv.key = bytes(member(v, "key"), kMaxKeyBytes);
+  kv.value = bytes(member(v, "value"), kMaxValueBytes);
+  kv.create_revision = number(member(v, "create_revision"));
+  kv.mod_revision = number(member(v, "mod_revision"));
   kv.version = number(member(v, "version"));
   kv.lease = LeaseId(number(member(v, "lease")));
   if (kv.key.empty()) throw Nonsense{};
   return kv;
 }
-Ranged ranged(const Json::Value& v) {
-  Ranged out;
-  for (const auto& kv : list(member(v, "kvs"))) out.all.push_back(key_value(kv));
+RangeResult ranged(const Json::Value& v) {
+  RangeResult out;
+  for (const auto& kv : list(member(v, "kvs"))) out.key_values.push_back(key_value(kv));
   return out;
 }
 Revision revision_of(const Json::Value& v) {
@@ -72,9 +72,9 @@
 }
 
 // The answer to each kind of request; what must be there for it to be one.
-void take(const Txn& txn, const Json::Value& v, Done& done) {
+void take(const Txn& txn, const Json::Value& v, Completed& done) {
   done.succeeded = flag(member(v, "succeeded"));
-  const auto& asked = done.succeeded ? txn.then : txn.otherwise;
+  const auto& asked = done.succeeded ? txn.on_success : txn.on_failure;
   const Json::Value& responses = list(member(v, "responses"));
   if (responses.size() != asked.size()) throw Nonsense{};
   for (Json::ArrayIndex i = 0; i < responses.size(); ++i) {
@@ -82,13 +82,13 @@
       done.ranges.push_back(ranged(member(responses[i], "response_range")));
   }
 }
-void take(const Range&, const Json::Value& v, Done& done) { done.ranges.push_back(ranged(v)); }
-void take(const Grant&, const Json::Value& v, Done& done) {
+void take(const Range&, const Json::Value& v, Completed& done) { done.ranges.push_back(ranged(v)); }
+void take(const GrantLease&, const Json::Value& v, Completed& done) {
   done.lease = LeaseId(number(member(v, "ID")));
   done.ttl_s = number(member(v, "TTL"));
   if (done.lease == LeaseId::none || done.ttl_s <= 0) throw Nonsense{};
 }
-void take(const KeepAlive& asked, const Json::Value& v, Done& done) {  // a stream of one message
+void take(const KeepLeaseAlive& asked, const Json::Value& v, Completed& done) {  // a stream of one message
   const Json::Value& result = member(v, "result");
   if (!result.isObject()) throw Nonsense{};
   done.lease = LeaseId(number(member(result, "ID")));
@@ -96,7 +96,7 @@
   done.revision = revision_of(result);
   if (done.lease != asked.lease || done.ttl_s < 0) throw Nonsense{};
 }
-void take(const Revoke&, const Json::Value&, Done&) {}
+void take(const RevokeLease&, const Json::Value&, Completed&) {}
 
 Reply error_reply(const Request& request, unsigned status, std::string_view body) {
   std::string why = "HTTP " + std::to_string(status);
@@ -113,7 +113,7 @@
                        code == kPrecondition || code == kOutOfRange || code == kUnimplemented ||
                        code == kUnauthenticated;
   if (nothing || !may_change(request)) return Failed{why, code == kOutOfRange};
-  return Unknown{why};
+  return OutcomeUnknown{why};
 }
 
 }  // namespace
@@ -124,26 +124,26 @@
     const auto v = parse(body);
     if (!v) throw Nonsense{};
     if (v->isMember("error")) return error_reply(request, status, (*v)["error"].toStyledString());
-    Done done;
-    if (!std::holds_alternative<KeepAlive>(request)) done.revision = revision_of(*v);
+    Completed done;
+    if (!std::holds_alternative<KeepLeaseAlive>(request)) done.revision = revision_of(*v);
     std::visit([&](const auto& r) { take(r, *v, done); }, request);
     return done;
   } catch (const Nonsense&) {
     constexpr const char* kWhy = "an answer that makes no sense";
-    if (may_change(request)) return Unknown{kWhy};
+    if (may_change(request)) return OutcomeUnknown{kWhy};
     return Failed{kWhy};
   }
 }
 
-std::optional<Watched> decode_watched(std::string_view line) try {
+std::optional<WatchResponse> decode_watch_response(std::string_view line) try {
   const auto v = parse(line);
   if (!v || !member(*v, "result").isObject()) return std::nullopt;
   const Json::Value& result = member(*v, "result");
-  Watched out;
+  WatchResponse out;
   out.revision = revision_of(result);
   out.created = flag(member(result, "created"));
   out.canceled = flag(member(result, "canceled"));
-  out.compacted = number(member(result, "compact_revision"));
+  out.compact_revision = number(member(result, "compact_revision"));
   for (const auto& event : list(member(result, "events"))) {
     const Json::Value& type = member(event, "type");
     if (!type.isNull() && !type.isString()) return std::nullopt;
--- a/src/store/wire_out.cpp
+++ b/src/store/wire_out.cpp
@@ -26,7 +26,7 @@
 Json::Value to_json(const Delete& del) { return range_of(del.key, del.end); }
 Json::Value to_json(const Range& range) {
   Json::Value out = range_of(range.key, range.end);
-  if (range.at > 0) out["revision"] = text_of(range.at);
+  if (range.revision > 0) out["revision"] = text_of(range.revision);
   return out;
 }
 Json::Value to_json(const Op& op) {
@@ -38,20 +38,22 @@
 Json::Value to_json(const Compare& c) {
   Json::Value out = range_of(c.key, "");
   out["result"] = "EQUAL";
-  out["target"] = c.what == Compare::What::create ? "CREATE" : c.what == Compare::What::mod ? "MOD" : "VALUE";
-  if (c.what == Compare::What::create) out["create_revision"] = text_of(c.revision);
-  if (c.what == Compare::What::mod) out["mod_revision"] = text_of(c.revision);
-  if (c.what == Compare::What::value) out["value"] = to_base64(c.value);
+  out["target"] = c.target == Compare::Target::create_revision ? "CREATE"
+                  : c.target == Compare::Target::mod_revision  ? "MOD"
+                                                               : "VALUE";
+  if (c.target == Compare::Target::create_revision) out["create_revision"] = text_of(c.revision);
+  if (c.target == Compare::Target::mod_revision) out["mod_revision"] = text_of(c.revision);
+  if (c.target == Compare::Target::value) out["value"] = to_base64(c.value);
   return out;
 }
 Json::Value to_json(const Txn& txn) {
   Json::Value out(Json::objectValue);
-  for (const auto& c : txn.when) out["compare"].append(to_json(c));
-  for (const auto& op : txn.then) out["success"].append(to_json(op));
-  for (const auto& op : txn.otherwise) out["failure"].append(to_json(op));
+  for (const auto& c : txn.compares) out["compare"].append(to_json(c));
+  for (const auto& op : txn.on_success) out["success"].append(to_json(op));
+  for (const auto& op : txn.on_failure) out["failure"].append(to_json(op));
   return out;
 }
-Json::Value to_json(const Grant& grant) {
+Json::Value to_json(const GrantLease& grant) {
   Json::Value out;
   out["TTL"] = text_of(grant.ttl_s);
   return out;
@@ -81,7 +83,7 @@
 bool may_change(const Request& request) {
   if (const auto* txn = std::get_if<Txn>(&request)) {
     const auto writes = [](const Op& op) { return !std::holds_alternative<Range>(op); };
-    for (const auto* ops : {&txn->then, &txn->otherwise})
+    for (const auto* ops : {&txn->on_success, &txn->on_failure})
       for (const Op& op : *ops)
         if (writes(op)) return true;
     return false;
@@ -89,7 +91,7 @@
   return !std::holds_alternative<Range>(request);
 }
 
-Call encode(const Request& request) {
+GatewayCall encode(const Request& request) {
   constexpr const char* kPaths[] = {"/v3/kv/txn", "/v3/kv/range", "/v3/lease/grant", "/v3/lease/keepalive",
                                     "/v3/lease/revoke"};
   return {kPaths[request.index()],
@@ -97,10 +99,10 @@
           may_change(request)};
 }
 
-Call encode(const Watch& watch) {
+GatewayCall encode(const WatchRequest& watch) {
   Json::Value out;
   out["create_request"] = range_of(watch.key, watch.end);
-  out["create_request"]["start_revision"] = text_of(watch.from);
+  out["create_request"]["start_revision"] = text_of(watch.start_revision);
   return {"/v3/watch", base::write_json(out), false};
 }
 
--- a/tests/golden/simulations.cpp
+++ b/tests/golden/simulations.cpp
@@ -74,7 +74,7 @@
   }
   plan.stages = {{0.3, 0.5, seconds(3)}, {1, 1, seconds(3)}};
   plan.gate.emplace();
-  plan.on_fail = migration::OnFail::back;
+  plan.on_fail = migration::OnFail::roll_back;
   return plan;
 }
 
--- a/tests/golden/stored_bytes.cpp
+++ b/tests/golden/stored_bytes.cpp
@@ -46,15 +46,15 @@
   return value;
 }
 
-coordination::Fact fact() {
+coordination::MemberRecord fact() {
   return {"node-1", "0.1.0", 12.5, {{"shares", 7}, {"migration", 2}}, {{"south", {1, 2, 3}}}};
 }
 
-coordination::Table table() {
+coordination::LoadShareTable table() {
   return {9, 41, {{"00000000000000a1", 500000000}, {"00000000000000a2", 250000000}}};
 }
 
-migration::Record record() {
+migration::MigrationRecord record() {
   migration::Plan plan;
   plan.name = "south";
   plan.origins["old"].zones = {"a"};
@@ -63,13 +63,13 @@
                 {migration::TableGroupId{2}, "old", "new", {migration::TableGroupId{1}}}};
   plan.stages = {{0.5, 0.25, std::chrono::seconds(30)}, {1, 1, std::chrono::seconds(60)}};
   plan.gate.emplace();
-  migration::Record out;
+  migration::MigrationRecord out;
   out.epoch = 4;
-  out.term = 17;
+  out.fencing_token = 17;
   out.roster = {{"00000000000000a1", "node-1"}};
   out.homes[migration::TableGroupId{3}] = {"new", plan.origins["new"]};
   out.plans = {{plan, {2, 0}, false, true, "the gate failed"}};
-  out.ended = {{"north", "done"}};
+  out.outcomes = {{"north", "done"}};
   return out;
 }
 
@@ -176,10 +176,10 @@
            snapshot::encode(inherited->state, names(), kStoredAt) == bytes,
        kLearned);
   const auto fact_text = read_file(folder + kFact);
-  const auto old_fact = coordination::decode_fact(fact_text);
+  const auto old_fact = coordination::decode_member_record(fact_text);
   need(old_fact && *old_fact == fact() && coordination::encode(*old_fact) == fact_text, kFact);
   const auto table_text = read_file(folder + kTable);
-  const auto old_table = coordination::decode_table(table_text);
+  const auto old_table = coordination::decode_load_share_table(table_text);
   need(old_table && *old_table == table() && coordination::encode(*old_table) == table_text, kTable);
   const auto record_text = read_file(folder + kRecord);
   const auto old_record = migration::decode_record(record_text);
--- a/tests/node/duty_fixture.h
+++ b/tests/node/duty_fixture.h
@@ -8,7 +8,7 @@
 
 namespace yokestream::test {
 
-using coordination::Fleet;
+using coordination::FleetMember;
 using standin::DutySettings;
 using standin::DutyWorld;
 
@@ -23,12 +23,13 @@
   return world.figures().violation.empty();
 }
 inline store::Range line() {
-  const std::string prefix = coordination::Names("/yokestream").line(coordination::Fleet::kDuty);
-  return {prefix, store::after_prefix(prefix), 0};
+  const std::string prefix =
+      coordination::StoreKeys("/yokestream").candidates(coordination::FleetMember::kLoadShareTask);
+  return {prefix, store::prefix_range_end(prefix), 0};
 }
-inline std::optional<coordination::Table> table(const DutyWorld& world) {
+inline std::optional<coordination::LoadShareTable> table(const DutyWorld& world) {
   const auto found = world.store().range({"/yokestream/state/shares", {}, 0});
-  return found.empty() ? std::nullopt : coordination::decode_table(found[0].value);
+  return found.empty() ? std::nullopt : coordination::decode_load_share_table(found[0].value);
 }
 
 }  // namespace yokestream::test
--- a/tests/node/duty_random_test.cpp
+++ b/tests/node/duty_random_test.cpp
@@ -29,7 +29,7 @@
     settings.processes = 4;
     settings.seed = seed;
     settings.slow = 0.3;
-    settings.duty.without = guard;
+    settings.duty.disabled_guards = guard;
     DutyWorld world(settings);
     for (int i = 0; i < 40; ++i) {
       const std::size_t p = static_cast<std::size_t>(i) % 4;
--- a/tests/node/duty_search_test.cpp
+++ b/tests/node/duty_search_test.cpp
@@ -10,7 +10,7 @@
 namespace yokestream::test {
 namespace {
 
-using coordination::Election;
+using coordination::LeaderElection;
 
 constexpr std::size_t kCandidates = 2;
 constexpr std::size_t kMostOnTheWay =
@@ -26,14 +26,14 @@
   std::string digest = store::encode(request).body;  // once: most states have it from the one before
 };
 struct Candidate {
-  Election election{kSettings, kLineOf, kBeat};
+  LeaderElection election{kSettings, kLineOf, kBeat};
   std::optional<store::Request> asked;  // what it waits for an answer to
   std::vector<Call> on_the_way;
   std::optional<store::Reply> answer;
   std::size_t life = 0;
   int writes = 0;
   bool lease_over = false, writing = false, late_clock = false;
-  Time now() const { return late_clock ? kNow + kSettings.progress + 1s : kNow; }
+  Time now() const { return late_clock ? kNow + kSettings.progress_timeout + 1s : kNow; }
 };
 struct World {
   standin::StoreModel store;
@@ -49,15 +49,16 @@
 std::string digest(const World& w) {
   std::string out = std::to_string(w.store.revision());
   for (const auto& kv : w.store.range({"d/", "d0", 0}))
-    out += kv.key + std::to_string(kv.create) + ',' + std::to_string(kv.mod) + kv.value;
+    out += kv.key + std::to_string(kv.create_revision) + ',' + std::to_string(kv.mod_revision) + kv.value;
   for (const auto& c : w.all) {
     out += '\n' + c.election.digest() + std::to_string(c.life) + std::to_string(c.writes);
     for (const bool b : {c.lease_over, c.writing, c.late_clock, c.asked.has_value()}) out += b ? '1' : '0';
     for (const auto& m : c.on_the_way) out += '>' + m.digest;
-    if (const auto* done = c.answer ? std::get_if<store::Done>(&*c.answer) : nullptr) {
+    if (const auto* done = c.answer ? std::get_if<store::Completed>(&*c.answer) : nullptr) {
       out += '<' + std::to_string(done->revision) + (done->succeeded ? 'y' : 'n');
       for (const auto& r : done->ranges)
-        for (const auto& kv : r.all) out += kv.key + std::to_string(kv.create) + ',' + std::to_string(kv.mod);
+        for (const auto& kv : r.key_values)
+          out += kv.key + std::to_string(kv.create_revision) + ',' + std::to_string(kv.mod_revision);
     }
   }
   return out;
@@ -66,10 +67,10 @@
 // S1: what is written of the state is the owner's, in a term that never falls.
 void check(World& w) {
   const auto state = w.store.range({kState, {}, 0});
-  if (state.empty() || state[0].mod != w.store.revision()) return;
+  if (state.empty() || state[0].mod_revision != w.store.revision()) return;
   store::Revision oldest = 0;
-  for (const auto& kv : w.store.range({kLineOf, store::after_prefix(kLineOf), 0}))
-    oldest = oldest == 0 ? kv.create : std::min(oldest, kv.create);
+  for (const auto& kv : w.store.range({kLineOf, store::prefix_range_end(kLineOf), 0}))
+    oldest = oldest == 0 ? kv.create_revision : std::min(oldest, kv.create_revision);
   const store::Revision term = std::stoll(state[0].value);
   if (term != oldest) w.broken = "S1: term " + state[0].value + ", the owner's is " + std::to_string(oldest);
   if (term < w.last_term) w.broken = "S1: an older term";
@@ -89,13 +90,17 @@
   const auto send = [](Candidate& n, store::Request r) {
     n.asked = r, n.on_the_way.push_back({std::move(r)});
   };
-  if (free && c.election.next(c.now()))
-    step([&](World&, Candidate& n) { send(n, *n.election.next(n.now())), n.election.asked(); });
-  if (free && c.election.owner() && c.writes < kMostWrites)
+  if (free && c.election.next_request(c.now()))
+    step([&](World&, Candidate& n) {
+      send(n, *n.election.next_request(n.now())), n.election.on_request_sent();
+    });
+  if (free && c.election.is_leader() && c.writes < kMostWrites)
     step([&](World&, Candidate& n) {
       store::Txn txn{
-          {}, {store::Put{kState, std::to_string(n.election.term()), {}}, store::Put{kBeat, "", {}}}, {}};
-      if (guarded) txn.when.push_back(n.election.guard());
+          {},
+          {store::Put{kState, std::to_string(n.election.fencing_token()), {}}, store::Put{kBeat, "", {}}},
+          {}};
+      if (guarded) txn.compares.push_back(n.election.leadership_guard());
       send(n, txn), n.writing = true, ++n.writes;
     });
   for (std::size_t m = 0; m < c.on_the_way.size(); ++m) {
@@ -113,29 +118,29 @@
   }
   const auto hear = [](Candidate& n, const store::Reply& reply) {
     n.asked.reset(), n.answer.reset();
-    const auto* done = std::get_if<store::Done>(&reply);
-    if (!std::exchange(n.writing, false)) return n.election.replied(n.now(), reply);
-    if (done && !done->succeeded) n.election.lost();
+    const auto* done = std::get_if<store::Completed>(&reply);
+    if (!std::exchange(n.writing, false)) return n.election.on_reply(n.now(), reply);
+    if (done && !done->succeeded) n.election.on_leadership_lost();
   };
   if (c.answer) step([&](World&, Candidate& n) { hear(n, store::Reply(*n.answer)); });
   if (c.asked)  // it gives up, and what it asked may arrive still, or its answer be lost
     step([&](World&, Candidate& n) {
       const store::Reply gone =
-          store::may_change(*n.asked) ? store::Reply(store::Unknown{""}) : store::Failed{"", false};
+          store::may_change(*n.asked) ? store::Reply(store::OutcomeUnknown{""}) : store::Failed{"", false};
       hear(n, gone);
     });
   if (!c.lease_over && c.life < 1)
     step([&](World& w, Candidate& n) {
-      n.lease_over = true, w.store.handle(kNow, store::Revoke{lease_of(p, n.life)});
+      n.lease_over = true, w.store.handle(kNow, store::RevokeLease{lease_of(p, n.life)});
     });
   if (c.lease_over && !c.asked)  // it finds out, and stands again
     step([&](World&, Candidate& n) {
       n.lease_over = false, ++n.life;
-      n.election.stand(lease_of(p, n.life), "n");
+      n.election.campaign(lease_of(p, n.life), "n");
     });
-  const auto ahead = c.election.ahead();
+  const auto ahead = c.election.predecessor_watch();
   if (ahead && from.store.range({ahead->key, {}, 0}).empty())
-    step([&](World&, Candidate& n) { n.election.ahead_gone(); });
+    step([&](World&, Candidate& n) { n.election.on_predecessor_gone(); });
   if (p == 1 && !c.late_clock) step([&](World&, Candidate& n) { n.late_clock = true; });
 }
 
@@ -146,8 +151,8 @@
 };
 Found search(bool guarded) {
   World begin;
-  for (std::size_t i = 0; i < 2 * kCandidates; ++i) begin.store.handle(kNow, store::Grant{1000});
-  for (std::size_t p = 0; p < kCandidates; ++p) begin.all[p].election.stand(lease_of(p, 0), "n");
+  for (std::size_t i = 0; i < 2 * kCandidates; ++i) begin.store.handle(kNow, store::GrantLease{1000});
+  for (std::size_t p = 0; p < kCandidates; ++p) begin.all[p].election.campaign(lease_of(p, 0), "n");
   Found found;
   std::unordered_set<std::size_t> seen;
   std::deque<World> open{begin};
--- a/tests/node/duty_test.cpp
+++ b/tests/node/duty_test.cpp
@@ -4,7 +4,7 @@
 namespace yokestream::test {
 namespace {
 
-using coordination::Fleet;
+using coordination::FleetMember;
 TEST_CASE("three processes have one owner, one table and parts by their traffic") {
   DutyWorld world(calm());
   world.at(5s, [&] { world.traffic(0, 60); });
@@ -38,7 +38,7 @@
   well(world);
   REQUIRE(world.owner().has_value());
   CHECK(*world.owner() != old);
-  CHECK(world.fleet(old).left());
+  CHECK(world.fleet(old).has_left());
   CHECK(world.store().range(line()).size() == 2);
   REQUIRE(world.figures().vacancies.size() == 1);
   CHECK(world.figures().vacancies[0] < 1);
@@ -61,7 +61,7 @@
 
 TEST_CASE("an owner that is alive and does nothing loses the duty, and stands again") {
   auto settings = calm();
-  settings.duty.look = 1000s;  // it never looks, so it shows no progress after its first
+  settings.duty.inspection_interval = 1000s;  // it never looks, so it shows no progress after its first
   DutyWorld world(settings);
   std::size_t first = 9;
   world.at(10s, [&] { first = *world.owner(); });
@@ -69,7 +69,8 @@
   well(world);
   std::set<store::Revision> terms;
   for (const auto& change : world.store().history())
-    if (change.event.now.key == "/yokestream/duty/shares/beat") terms.insert(change.event.now.mod);
+    if (change.event.key_value.key == "/yokestream/duty/shares/beat")
+      terms.insert(change.event.key_value.mod_revision);
   CHECK(terms.size() >= 3);  // owners since, each with a sign of its own
   CHECK(world.store().range(line()).size() == 3);
 }
@@ -83,7 +84,7 @@
     world.at(100s, [&] { CHECK(world.part(0) > 0.4); });
     for (int ms = 0; ms < 10000; ms += 20) {
       world.at(100s + Duration(1ms) * ms, [&] {
-        const auto alive = coordination::Names("/yokestream").alive(world.fleet(0).session());
+        const auto alive = coordination::StoreKeys("/yokestream").member(world.fleet(0).session_lease());
         gone = gone || world.store().range({alive, {}, 0}).empty();
         if (gone) CHECK(world.part(0) <= 1.0 / 3 + 1e-9);
       });
@@ -136,7 +137,7 @@
     world.at(60s, [&] { world.store() = *then; });
     world.run(90s);
     for (std::size_t p = 0; p < 3; ++p)
-      CHECK(world.fleet(p).trouble() == "the store was set back to an older state");
+      CHECK(world.fleet(p).fault() == "the store was set back to an older state");
     CHECK(world.part(0) <= 1.0 / 3 + 1e-9);
   }
   SUBCASE("a foreign form") {
@@ -144,7 +145,7 @@
     world.store().handle(Time(Duration(1000s)),
                          store::Txn{{}, {store::Put{"/yokestream/format", "2", {}}}, {}});
     world.run(20s);
-    CHECK(world.fleet(0).trouble() == "the store holds another form under /yokestream/");
+    CHECK(world.fleet(0).fault() == "the store holds another form under /yokestream/");
     CHECK(world.store().range(line()).empty());
   }
   SUBCASE("an unreadable record") {
@@ -152,7 +153,7 @@
     const store::Put spoilt{"/yokestream/state/shares", "{\"form\":2}", {}};
     world.store().handle(Time(Duration(1000s)), store::Txn{{}, {spoilt}, {}});
     world.run(60s);
-    CHECK(world.fleet(1).trouble() == "the store's record /yokestream/state/shares can't be read");
+    CHECK(world.fleet(1).fault() == "the store's record /yokestream/state/shares can't be read");
     CHECK(world.store().range({spoilt.key, {}, 0})[0].value == spoilt.value);
   }
 }
--- a/tests/node/migration_fixture.h
+++ b/tests/node/migration_fixture.h
@@ -7,11 +7,11 @@
 
 namespace yokestream::test {
 
-using migration::Mover;
+using migration::MigrationRecord;
+using migration::MigrationTask;
 using migration::OnFail;
 using migration::Plan;
-using migration::Record;
-using migration::Running;
+using migration::PlanProgress;
 using policy::TableGroupId;
 
 inline Plan a_plan(std::size_t areas, Duration hold = 2s) {
@@ -32,32 +32,32 @@
 // The owner's side alone, told what it sees.
 struct Owner {
   explicit Owner(Plan p, unsigned without = 0) : plan(std::move(p)), mover(3s, 0.01, without) {
-    looked.term = 5;
+    looked.fencing_token = 5;
     live("1"), live("2");
   }
-  void live(const std::string& session) { looked.living[session] = {"n" + session, "1", 0, {}, {}}; }
+  void live(const std::string& session) { looked.members[session] = {"n" + session, "1", 0, {}, {}}; }
   // One look; true: it wrote. All living sessions but `silent` act on it at once.
   bool look(Duration later = 1s) {
     looked.now += later;
-    const auto draft = mover.next(looked);
+    const auto draft = mover.next_draft(looked);
     if (!draft) return false;
-    for (const auto& asked : draft->answered) looked.asked.erase(asked);
-    CHECK(mover.see(draft->state, "1"));
-    for (auto& [session, fact] : looked.living)
-      if (session != silent) fact.seen[Mover::kName] = mover.record().epoch;
+    for (const auto& asked : draft->answered_requests) looked.staff_requests.erase(asked);
+    CHECK(mover.observe(draft->state, "1"));
+    for (auto& [session, fact] : looked.members)
+      if (session != silent) fact.acknowledged_epochs[MigrationTask::kName] = mover.record().epoch;
     return true;
   }
-  void propose() { looked.asked["plan/" + plan.name] = text_of(plan); }
+  void propose() { looked.staff_requests["plan/" + plan.name] = text_of(plan); }
   std::vector<std::size_t> steps() const {
     return mover.record().plans.empty() ? std::vector<std::size_t>{} : mover.record().plans[0].steps;
   }
   std::string ended() const {
-    const auto it = mover.record().ended.find("south");
-    return it == mover.record().ended.end() ? "" : it->second;
+    const auto it = mover.record().outcomes.find("south");
+    return it == mover.record().outcomes.end() ? "" : it->second;
   }
   Plan plan;
-  Mover mover;
-  coordination::Looked looked{Time(1000s), {}, {}, 0};
+  MigrationTask mover;
+  coordination::FleetSnapshot looked{Time(1000s), {}, {}, 0};
   std::string silent;
 };
 
--- a/tests/node/migration_plan_test.cpp
+++ b/tests/node/migration_plan_test.cpp
@@ -17,7 +17,7 @@
 TEST_CASE("a plan survives its JSON, and each problem is named with its path, all of them at once") {
   Plan plan = a_plan(3);
   plan.gate = migration::Gate{0.1, 2, 40};
-  plan.on_fail = OnFail::back;
+  plan.on_fail = OnFail::roll_back;
   plan.origins["new"].cells = {7};
   std::vector<std::string> none;
   CHECK(migration::read_plan(migration::to_json(plan), none) == plan);
@@ -53,19 +53,19 @@
   Owner owner(a_plan(2, 0s));
   owner.propose();
   for (int i = 0; i < 4; ++i) owner.look();
-  const Record& record = owner.mover.record();
+  const MigrationRecord& record = owner.mover.record();
   CHECK(migration::decode_record(encode(record)) == record);
   for (const char* bad : {"", "{}", "[]", "{\"form\":2}", "noise"})
     CHECK_FALSE(migration::decode_record(bad));
-  Record broken = record;
+  MigrationRecord broken = record;
   broken.plans[0].steps[0] = 99;
   CHECK_FALSE(migration::decode_record(encode(broken)));
-  Mover mover(1s, 0);
-  CHECK_FALSE(mover.see("noise", "1"));
+  MigrationTask mover(1s, 0);
+  CHECK_FALSE(mover.observe("noise", "1"));
 }
 
 TEST_CASE("a stage's share of the edges is the same ones as it grows, by name") {
-  Record record;
+  MigrationRecord record;
   record.epoch = 0;
   for (int i = 0; i < 50; ++i) record.roster["s" + std::to_string(i)] = "n" + std::to_string(i);
   std::size_t before = 0;
--- a/tests/node/migration_random_test.cpp
+++ b/tests/node/migration_random_test.cpp
@@ -22,7 +22,7 @@
     world.run(700s);
     INFO("seed " << seed << " at " << std::chrono::duration<double>(world.time()).count() << " s");
     REQUIRE(well(world));
-    CHECK(world.migrations().ended.count("south") == 1);
+    CHECK(world.migrations().outcomes.count("south") == 1);
     CHECK(world.figures().edges.sent > 1000);
   }
 }
@@ -33,13 +33,13 @@
     settings.edges.bad = 0.5;
     Plan plan = a_plan(2);
     plan.gate = migration::Gate{};
-    plan.on_fail = OnFail::back;
+    plan.on_fail = OnFail::roll_back;
     DutyWorld world(settings);
     play(world, settings, plan, 120s);
     world.run(500s);
     INFO("seed " << seed);
     REQUIRE(well(world));
-    CHECK(world.migrations().ended.at("south").rfind("went back: served", 0) == 0);
+    CHECK(world.migrations().outcomes.at("south").rfind("went back: served", 0) == 0);
     CHECK(world.migrations().homes.at(TableGroupId{1}).name == "old");
   }
 }
@@ -81,12 +81,13 @@
 
 TEST_CASE("the checker names the rule whose guard is left out") {
   CHECK(found_without(0) == "");
-  for (const auto guard : {Mover::kAcknowledged, Mover::kLongest, Mover::kOrder, Mover::kStop}) {
+  for (const auto guard :
+       {MigrationTask::kAcknowledged, MigrationTask::kLongest, MigrationTask::kOrder, MigrationTask::kStop}) {
     INFO("without guard " << guard);
     CHECK(found_without(guard).rfind("S6", 0) == 0);
   }
   CHECK(found_with_newcomers(0) == "");
-  CHECK(found_with_newcomers(Mover::kRoster).rfind("S6", 0) == 0);
+  CHECK(found_with_newcomers(MigrationTask::kRoster).rfind("S6", 0) == 0);
 }
 
 }  // namespace
--- a/tests/node/migration_test.cpp
+++ b/tests/node/migration_test.cpp
@@ -33,7 +33,7 @@
   owner.live("3");  // who joins is let in meanwhile, and changes nothing
   CHECK(owner.look());
   CHECK(owner.steps() == stands);
-  owner.looked.living.erase("2");
+  owner.looked.members.erase("2");
   for (int i = 0; i < 4; ++i) CHECK_FALSE(owner.look());  // 3 s and the drift
   CHECK(owner.look());
   CHECK(owner.steps() != stands);
@@ -45,15 +45,15 @@
   first.propose();
   first.look(), first.look();
   Owner second(a_plan(1, 0s));
-  second.mover.see(encode(first.mover.record()), "1");
+  second.mover.observe(encode(first.mover.record()), "1");
   second.looked = first.looked;
-  second.looked.term = 9;
-  second.looked.living.erase("2");
+  second.looked.fencing_token = 9;
+  second.looked.members.erase("2");
   const auto stands = second.steps();
   for (int i = 0; i < 4; ++i) CHECK_FALSE(second.look());
   CHECK(second.look());
   CHECK(second.steps()[0] == stands[0] + 1);
-  CHECK(second.mover.record().term == 9);
+  CHECK(second.mover.record().fencing_token == 9);
 }
 
 TEST_CASE("a stage lasts its time, and the loads of an area are open on one side at most") {
@@ -68,7 +68,7 @@
   std::vector<Loads> seen;
   for (int i = 0; i < 30 && owner.ended().empty(); ++i) {
     owner.look();
-    seen.push_back(owner.mover.table()->rules.at(TableGroupId{1}).loads);
+    seen.push_back(owner.mover.routing_table()->rules.at(TableGroupId{1}).loads);
   }
   seen.erase(std::unique(seen.begin(), seen.end()), seen.end());
   CHECK(seen ==
@@ -77,14 +77,14 @@
 }
 
 void tell(Owner& owner, std::int64_t served_there) {
-  for (auto& [session, fact] : owner.looked.living) {
+  for (auto& [session, fact] : owner.looked.members) {
     auto& tally = fact.tallies["south"];
     migration::add(tally, {100, 100, 0, 0, 100, served_there, 0, 0}, 1);
   }
 }
 
 TEST_CASE("a gate that fails holds the plan, or sends it back in reverse order; too few outcomes wait") {
-  for (const auto on_fail : {OnFail::hold, OnFail::back}) {
+  for (const auto on_fail : {OnFail::hold, OnFail::roll_back}) {
     Plan plan = a_plan(2, 0s);
     plan.gate = migration::Gate{};
     plan.on_fail = on_fail;
@@ -99,13 +99,13 @@
     owner.look();  // the stage's span begins
     tell(owner, 60);
     owner.look();
-    CHECK(owner.mover.record().plans[0].why == "served 0.600, on the side left behind 1.000");
+    CHECK(owner.mover.record().plans[0].cause == "served 0.600, on the side left behind 1.000");
     if (on_fail == OnFail::hold) {
       CHECK(owner.mover.record().plans[0].halted);
       bool held = true;
       for (int i = 0; i < 10; ++i) tell(owner, 100), held &= !owner.look();
       CHECK(held);
-      owner.looked.asked["wish/south"] = "resume";
+      owner.looked.staff_requests["wish/south"] = "resume";
       for (int i = 0; i < 30 && owner.ended().empty(); ++i) tell(owner, 100), owner.look();
       CHECK(owner.ended() == "done");
     } else {
@@ -124,7 +124,7 @@
 TEST_CASE("a way back whose own gate fails halts, and goes on when staff say so") {
   Plan plan = a_plan(1, 0s);
   plan.gate = migration::Gate{};
-  plan.on_fail = OnFail::back;
+  plan.on_fail = OnFail::roll_back;
   plan.stages = {{0.3, 0.3, 0s}, {0.6, 0.6, 0s}, {1, 1, 0s}};
   Owner owner(plan);
   owner.propose();
@@ -132,13 +132,13 @@
   owner.look();  // the stage's span begins
   tell(owner, 10);
   owner.look();
-  REQUIRE(owner.mover.record().plans[0].back);
-  for (auto& [session, fact] : owner.looked.living)  // now the old side serves worse still
+  REQUIRE(owner.mover.record().plans[0].rolling_back);
+  for (auto& [session, fact] : owner.looked.members)  // now the old side serves worse still
     migration::add(fact.tallies["south"], {1000, 10, 0, 0, 1000, 1000, 0, 0}, 1);
   for (int i = 0; i < 5; ++i) owner.look();
   REQUIRE(owner.mover.record().plans.size() == 1);
   CHECK(owner.mover.record().plans[0].halted);
-  owner.looked.asked["wish/south"] = "resume";
+  owner.looked.staff_requests["wish/south"] = "resume";
   for (int i = 0; i < 30 && owner.ended().empty(); ++i) tell(owner, 10), owner.look();
   CHECK(owner.ended().rfind("went back", 0) == 0);
 }
@@ -149,21 +149,21 @@
   owner.propose();
   Plan other = a_plan(3, 0s);
   other.name = "wide";
-  owner.looked.asked["plan/wide"] = text_of(other);
+  owner.looked.staff_requests["plan/wide"] = text_of(other);
   other.name = "apart";
   other.moves = {{TableGroupId{50}, "old", "new", {}}};
-  owner.looked.asked["plan/apart"] = text_of(other);
-  owner.looked.asked["plan/noise"] = "{";
-  owner.looked.asked["plan/named"] = text_of(other);
+  owner.looked.staff_requests["plan/apart"] = text_of(other);
+  owner.looked.staff_requests["plan/noise"] = "{";
+  owner.looked.staff_requests["plan/named"] = text_of(other);
   owner.look();
   const auto& record = owner.mover.record();
-  CHECK(owner.looked.asked.empty());
-  CHECK(record.ended.at("wide") == "turned down: area 1 is in plan south");
-  CHECK(record.ended.at("noise") == "turned down: it can't be read");
-  CHECK(record.ended.at("named") == "turned down: it is of another name");
+  CHECK(owner.looked.staff_requests.empty());
+  CHECK(record.outcomes.at("wide") == "turned down: area 1 is in plan south");
+  CHECK(record.outcomes.at("noise") == "turned down: it can't be read");
+  CHECK(record.outcomes.at("named") == "turned down: it is of another name");
   CHECK(record.plans.size() == 2);
   for (int i = 0; i < 8; ++i) owner.look();
-  CHECK(record.ended.at("apart") == "done");
+  CHECK(record.outcomes.at("apart") == "done");
   CHECK(record.plans.size() == 1);
 }
 
--- a/tests/node/routing_test.cpp
+++ b/tests/node/routing_test.cpp
@@ -18,12 +18,12 @@
 config::Config routed() {
   auto config = config::decode_config(config_text());
   config.fleet.on = true;
-  config.fleet.areas = {TableGroupId{kOther}, TableGroupId{kArea}};
+  config.fleet.movable_areas = {TableGroupId{kOther}, TableGroupId{kArea}};
   return config;
 }
 
-routing::Table table(std::int64_t epoch, std::uint32_t moved, Rule::Loads loads) {
-  routing::Table out;
+routing::RouteTable table(std::int64_t epoch, std::uint32_t moved, Rule::Loads loads) {
+  routing::RouteTable out;
   out.epoch = epoch;
   out.origins = {{{}, {}, {"e1", "e4"}, {}}, {{}, {}, {"e2", "e3"}, {}}};
   out.rules[TableGroupId{kArea}] = {0, 1, moved, loads};
@@ -38,7 +38,7 @@
   static std::string member(const std::string& uid, const std::string& at) {
     return R"({"uid":")" + uid + R"(","endpoint":")" + at + R"(","az":"z","model":"m","state":"up"})";
   }
-  routing::Table now_there = table(0, 0, Rule::Loads::from);
+  routing::RouteTable now_there = table(0, 0, Rule::Loads::from);
   void route(std::int64_t epoch, std::uint32_t moved, Rule::Loads loads, Duration granted = 60s) {
     now_there = table(epoch, moved, loads);
     grant(granted);
@@ -68,7 +68,7 @@
 
 TEST_CASE_FIXTURE(Routed,
                   "a share of what may be repeated moves, by the request; loads stay where they are") {
-  route(0, Rule::kAll / 4, Rule::Loads::from);
+  route(0, Rule::kAllRequests / 4, Rule::Loads::from);
   int moved = 0;
   for (dispatch::CallId call = 1; call <= 400; ++call) {
     look(call);
@@ -91,7 +91,8 @@
   pass(100ms);
   REQUIRE(out.size() == 1);
   CHECK(place() == "127.0.0.1:7004");
-  route(1, Rule::kAll, Rule::Loads::from);  // queued still: it is taken back and goes to the other side
+  route(1, Rule::kAllRequests,
+        Rule::Loads::from);  // queued still: it is taken back and goes to the other side
   CHECK(place() == kNew);
   CHECK(core.conforms_to_routes());
   answer(written(), ResponseType::result);
@@ -100,10 +101,10 @@
 
 TEST_CASE_FIXTURE(Routed,
                   "loads: closed at once, kept to once the last one has ended, then on the other side") {
-  route(0, Rule::kAll, Rule::Loads::from);
+  route(0, Rule::kAllRequests, Rule::Loads::from);
   load(1);
   const Out first = written();
-  route(1, Rule::kAll, Rule::Loads::nowhere);
+  route(1, Rule::kAllRequests, Rule::Loads::nowhere);
   CHECK_FALSE(core.conforms_to_routes());  // it is out on the old side
   load(2);
   CHECK(told(2) == "refused");
@@ -112,7 +113,7 @@
   answer(first, ResponseType::result);
   CHECK(told(1) == "served");
   CHECK(core.conforms_to_routes());
-  route(2, Rule::kAll, Rule::Loads::to);
+  route(2, Rule::kAllRequests, Rule::Loads::to);
   load(4);
   CHECK(place() == kNew);
 }
@@ -170,23 +171,23 @@
 }
 
 TEST_CASE("more engines than there are slots: those beyond are in no origin, and are open to other areas") {
-  routing::Routes all;
-  all.expect({TableGroupId{kArea}});
-  routing::Table any = table(0, 0, Rule::Loads::from);
+  routing::Router all;
+  all.set_movable_areas({TableGroupId{kArea}});
+  routing::RouteTable any = table(0, 0, Rule::Loads::from);
   any.origins[0] = {};  // takes all
-  all.swap(any);
-  all.extend(Time::max());
+  all.install(any);
+  all.extend_lease(Time::max());
   config::Member member;
   for (std::size_t i = 0; i <= policy::kMaxEngineSlots; ++i)
-    member.uid = "e" + std::to_string(i), all.list(member);
-  const auto route = all.find(Time{}, TableGroupId{kArea}, true, "x");
-  CHECK(route.among->count() == policy::kMaxEngineSlots);
-  CHECK(all.slot(member.uid) == policy::kMaxEngineSlots);
-  CHECK_FALSE(all.find(Time{}, TableGroupId{kOther}, true, "x").among);
-  all.keep([](const std::string& uid) { return uid != "e7"; });
-  CHECK_FALSE((*all.find(Time{}, TableGroupId{kArea}, true, "x").among)[7]);
+    member.uid = "e" + std::to_string(i), all.register_engine(member);
+  const auto route = all.route(Time{}, TableGroupId{kArea}, true, "x");
+  CHECK(route.allowed_engines->count() == policy::kMaxEngineSlots);
+  CHECK(all.slot_of(member.uid) == policy::kMaxEngineSlots);
+  CHECK_FALSE(all.route(Time{}, TableGroupId{kOther}, true, "x").allowed_engines);
+  all.retain_engines([](const std::string& uid) { return uid != "e7"; });
+  CHECK_FALSE((*all.route(Time{}, TableGroupId{kArea}, true, "x").allowed_engines)[7]);
   member.uid = "new";
-  CHECK(all.list(member) == 7);
+  CHECK(all.register_engine(member) == 7);
 }
 
 TEST_CASE_FIXTURE(Routed,
--- a/tests/node/store_test.cpp
+++ b/tests/node/store_test.cpp
@@ -38,9 +38,9 @@
   Steps steps(2);
   const std::string good =
       R"({"header":{"revision":"7"},"succeeded":true,"responses":[{"response_put":{}}]})";
-  CHECK(std::get<Done>(decode(txn, 200, good)).revision == 7);
+  CHECK(std::get<Completed>(decode(txn, 200, good)).revision == 7);
   for (std::size_t size = 0; size < good.size(); ++size)
-    REQUIRE(std::holds_alternative<Unknown>(decode(txn, 200, good.substr(0, size))));
+    REQUIRE(std::holds_alternative<OutcomeUnknown>(decode(txn, 200, good.substr(0, size))));
   for (const char* bad :
        {"[]", "{\"header\":7}", R"({"header":{"revision":"x"}})", R"({"header":{"revision":"7"},"kvs":{}})",
         R"({"header":{"revision":"7"},"kvs":[{"key":"?"}]})", R"({"header":{"revision":"-1"}})",
@@ -50,24 +50,25 @@
   for (const char* bad :
        {"[]", "{}", R"({"header":{"revision":"0"}})", R"({"header":{"revision":"7"},"succeeded":1})",
         R"({"header":{"revision":"7"},"succeeded":true,"responses":[]})"})
-    CHECK(std::holds_alternative<Unknown>(decode(txn, 200, bad)));
-  CHECK(std::holds_alternative<Unknown>(decode(txn, 503, R"({"code":14,"message":"leader lost"})")));
-  CHECK(std::holds_alternative<Unknown>(decode(txn, 500, "<html>")));
+    CHECK(std::holds_alternative<OutcomeUnknown>(decode(txn, 200, bad)));
+  CHECK(std::holds_alternative<OutcomeUnknown>(decode(txn, 503, R"({"code":14,"message":"leader lost"})")));
+  CHECK(std::holds_alternative<OutcomeUnknown>(decode(txn, 500, "<html>")));
   CHECK(std::holds_alternative<Failed>(decode(txn, 404, R"({"code":5,"message":"lease not found"})")));
   CHECK(std::get<Failed>(decode(range, 400, R"({"code":11,"message":"compacted"})")).compacted);
-  CHECK_FALSE(decode_watched("{}"));
-  CHECK_FALSE(decode_watched(R"({"result":{"events":[{"kv":{}}]}})"));
+  CHECK_FALSE(decode_watch_response("{}"));
+  CHECK_FALSE(decode_watch_response(R"({"result":{"events":[{"kv":{}}]}})"));
 }
 
 TEST_CASE("300 clients that lost the store come back over a minute, none in a crowd") {
   std::map<std::int64_t, int> by_second;
   for (std::uint64_t seed = 0; seed < 300; ++seed) {
-    Addresses addresses(std::vector<config::Endpoint>(3), seed * 7919, 75s);
+    EndpointRotation addresses(std::vector<config::Endpoint>(3), seed * 7919, 75s);
     Time time{1000s};
-    for (; time < Time{1060s}; time = std::max(time + 1ms, addresses.not_before())) addresses.failed(time);
+    for (; time < Time{1060s}; time = std::max(time + 1ms, addresses.next_attempt_at()))
+      addresses.record_failure(time);
     ++by_second[time.time_since_epoch() / 1s];
-    addresses.answered(time);
-    CHECK(addresses.not_before() <= time);
+    addresses.record_success(time);
+    CHECK(addresses.next_attempt_at() <= time);
   }
   for (const auto& [second, count] : by_second) CHECK(count <= 15);
 }
@@ -77,7 +78,7 @@
   Link link{server.endpoint()};
   Client client{{link.endpoint()}, 7, 1s};
   Reply ask(const Request& request, Duration patience = kSoon) {
-    return client.ask(request, now() + patience);
+    return client.call(request, now() + patience);
   }
   template <class Kind>
   bool is(const Reply& reply) {
@@ -91,26 +92,26 @@
     });
   }
   void come_back() {
-    while (now() < client.not_before()) std::this_thread::yield();
+    while (now() < client.next_attempt_at()) std::this_thread::yield();
   }
 };
 
 TEST_CASE_FIXTURE(Away, "transactions, leases and reads as of a revision, over the wire as in the model") {
-  const auto lease = std::get<Done>(ask(Grant{5})).lease;
-  const Txn enter{{{Compare::What::create, "a/k", 0, {}}},
+  const auto lease = std::get<Completed>(ask(GrantLease{5})).lease;
+  const Txn enter{{{Compare::Target::create_revision, "a/k", 0, {}}},
                   {Put{"a/k", std::string("\0\xff", 2), lease}, Range{"a/", "a0", 0}},
                   {Range{"a/", "a0", 0}}};
-  const auto first = std::get<Done>(ask(enter)), second = std::get<Done>(ask(enter));
+  const auto first = std::get<Completed>(ask(enter)), second = std::get<Completed>(ask(enter));
   CHECK(first.succeeded);
   CHECK_FALSE(second.succeeded);
   CHECK(first.ranges == second.ranges);
-  CHECK(second.ranges[0].all[0].value == std::string("\0\xff", 2));
-  CHECK(second.ranges[0].all[0].lease == lease);
-  CHECK(std::get<Done>(ask(put("later"))).revision == first.revision + 1);
-  CHECK(std::get<Done>(ask(Range{"a/k", {}, first.revision})).ranges == first.ranges);
-  CHECK(std::get<Done>(ask(KeepAlive{lease})).ttl_s == 5);
-  CHECK(is<Done>(ask(Revoke{lease})));
-  CHECK(std::get<Done>(ask(KeepAlive{lease})).ttl_s == 0);
+  CHECK(second.ranges[0].key_values[0].value == std::string("\0\xff", 2));
+  CHECK(second.ranges[0].key_values[0].lease == lease);
+  CHECK(std::get<Completed>(ask(put("later"))).revision == first.revision + 1);
+  CHECK(std::get<Completed>(ask(Range{"a/k", {}, first.revision})).ranges == first.ranges);
+  CHECK(std::get<Completed>(ask(KeepLeaseAlive{lease})).ttl_s == 5);
+  CHECK(is<Completed>(ask(RevokeLease{lease})));
+  CHECK(std::get<Completed>(ask(KeepLeaseAlive{lease})).ttl_s == 0);
   CHECK(is<Failed>(ask(Txn{{}, {Put{"a/l", "", lease}}, {}})));
   server.with([](auto& model) { model.compact(); });
   CHECK(std::get<Failed>(ask(Range{"a/k", {}, 1})).compacted);
@@ -118,23 +119,23 @@
 
 TEST_CASE_FIXTURE(Away, "a reply that is lost after the commit is unknown, not failed") {
   server.lose_reply([](const Txn&) { return true; });
-  CHECK(is<Unknown>(ask(put("1"))));
+  CHECK(is<OutcomeUnknown>(ask(put("1"))));
   CHECK(server.lost_reply());
   CHECK(value() == "1");
   come_back();
-  CHECK(is<Done>(ask(put("2"))));
+  CHECK(is<Completed>(ask(put("2"))));
 }
 
 TEST_CASE_FIXTURE(Away, "a call that never arrives is unknown to who asks, and one that comes late counts") {
-  CHECK(is<Done>(ask(put("0"))));
+  CHECK(is<Completed>(ask(put("0"))));
   link.there(Link::Way::hold);
-  CHECK(is<Unknown>(ask(put("1"), 100ms)));
+  CHECK(is<OutcomeUnknown>(ask(put("1"), 100ms)));
   CHECK(value() == "0");
   link.there(Link::Way::pass);
   server.wait([&](auto& model) { return model.range({"a/k", {}, 0})[0].value == "1"; });
   link.back(Link::Way::lose);
   come_back();
-  CHECK(is<Unknown>(ask(put("2"), 100ms)));
+  CHECK(is<OutcomeUnknown>(ask(put("2"), 100ms)));
   CHECK(value() == "2");
   come_back();
   CHECK(is<Failed>(ask(Range{"a/k", {}, 0}, 100ms)));  // a read changes nothing
@@ -143,16 +144,16 @@
 TEST_CASE_FIXTURE(
     Away, "a store that refuses, errs or talks nonsense is away; a call before its time fails at once") {
   server.fail_writes(standin::StoreModel::kUnavailable);
-  CHECK(is<Unknown>(ask(put("1"))));
+  CHECK(is<OutcomeUnknown>(ask(put("1"))));
   server.fail_writes(0);
-  CHECK(is<Done>(ask(put("1"))));
+  CHECK(is<Completed>(ask(put("1"))));
   link.refuse(true), link.close_all();
-  CHECK_FALSE(is<Done>(ask(put("2"))));
-  while (is<Unknown>(ask(put("2")))) {
+  CHECK_FALSE(is<Completed>(ask(put("2"))));
+  while (is<OutcomeUnknown>(ask(put("2")))) {
   }
   link.refuse(false);
   come_back();
-  while (!is<Done>(ask(put("3")))) come_back();
+  while (!is<Completed>(ask(put("3")))) come_back();
   CHECK(value() == "3");
 }
 
@@ -162,22 +163,22 @@
     server.wait([](auto& model) { return !model.range({"a/k", {}, 0}).empty(); });
     client.stop();
   });
-  CHECK(is<Unknown>(ask(put("1"), 60s)));
+  CHECK(is<OutcomeUnknown>(ask(put("1"), 60s)));
   CHECK(is<Failed>(ask(put("2"))));
 }
 
 struct Watching : Away {
   Watcher watcher;
   bool open(Revision from) {
-    return watcher.open({"a/", after_prefix("a/"), from}, link.endpoint(), now() + kSoon);
+    return watcher.open({"a/", prefix_range_end("a/"), from}, link.endpoint(), now() + kSoon);
   }
   std::vector<std::string> hear(std::size_t events) {  // values; "-": removed. Until so many, or its end
     std::vector<std::string> out;
     while (out.size() < events && watcher.is_open()) {
       for (const auto& message : watcher.read()) {
-        if (message.canceled) out.push_back("compacted " + std::to_string(message.compacted > 0));
+        if (message.canceled) out.push_back("compacted " + std::to_string(message.compact_revision > 0));
         for (const auto& e : message.events)
-          out.push_back(e.kind == WatchEvent::Kind::removed ? "-" : e.now.value);
+          out.push_back(e.kind == WatchEvent::Kind::removed ? "-" : e.key_value.value);
       }
       std::this_thread::yield();
     }
@@ -187,11 +188,11 @@
 
 TEST_CASE_FIXTURE(Watching,
                   "a watch tells all from its revision on, in order, and of its end when it is cut") {
-  const auto first = std::get<Done>(ask(put("1"))).revision;
-  CHECK(is<Done>(ask(put("2"))));
+  const auto first = std::get<Completed>(ask(put("1"))).revision;
+  CHECK(is<Completed>(ask(put("2"))));
   REQUIRE(open(first + 1));
-  CHECK(is<Done>(ask(put("3"))));
-  CHECK(is<Done>(ask(Txn{{}, {Delete{"a/k", {}}}, {}})));
+  CHECK(is<Completed>(ask(put("3"))));
+  CHECK(is<Completed>(ask(Txn{{}, {Delete{"a/k", {}}}, {}})));
   CHECK(hear(3) == std::vector<std::string>{"2", "3", "-"});
   link.close_all();
   CHECK(hear(1).empty());
@@ -200,7 +201,7 @@
 }
 
 TEST_CASE_FIXTURE(Watching, "a watch of what is compacted says so") {
-  CHECK(is<Done>(ask(put("1"))));
+  CHECK(is<Completed>(ask(put("1"))));
   server.with([](auto& model) { model.compact(); });
   REQUIRE(open(1));
   CHECK(hear(1) == std::vector<std::string>{"compacted 1"});
--- a/tests/processes/fleet_store_test.cpp
+++ b/tests/processes/fleet_store_test.cpp
@@ -6,19 +6,19 @@
 
 // Whose transaction it is shows in what it puts or deletes.
 bool enters(const store::Txn& txn) {
-  return std::any_of(txn.then.begin(), txn.then.end(), [](const auto& op) {
+  return std::any_of(txn.on_success.begin(), txn.on_success.end(), [](const auto& op) {
     const auto* put = std::get_if<store::Put>(&op);
     return put && put->key.starts_with(kLine);
   });
 }
 bool publishes(const store::Txn& txn) {
-  return std::any_of(txn.then.begin(), txn.then.end(), [](const auto& op) {
+  return std::any_of(txn.on_success.begin(), txn.on_success.end(), [](const auto& op) {
     const auto* put = std::get_if<store::Put>(&op);
-    return put && put->key == kNames.state(coordination::Fleet::kDuty);
+    return put && put->key == kNames.task_state(coordination::FleetMember::kLoadShareTask);
   });
 }
 bool releases(const store::Txn& txn) {
-  const auto* del = txn.then.empty() ? nullptr : std::get_if<store::Delete>(&txn.then[0]);
+  const auto* del = txn.on_success.empty() ? nullptr : std::get_if<store::Delete>(&txn.on_success[0]);
   return del && del->key.starts_with(kLine);
 }
 
@@ -49,7 +49,7 @@
   crowd.wait_for(20);
   const auto old = term();
   for (auto& manager : managers) manager->link.refuse(true), manager->link.close_all();
-  server.wait([](auto& model) { return all(model, kNames.alive()).empty(); });
+  server.wait([](auto& model) { return all(model, kNames.member()).empty(); });
   crowd.wait_for(50);
   for (auto& manager : managers) manager->link.refuse(false);
   wait_for_next(old);
@@ -75,7 +75,7 @@
   // newer than that, and heard of by all that watch
   server.with([](auto& model) {
     for (int i = 0; i < 20; ++i)
-      model.handle(net::now(), store::Txn{{}, {store::Put{kNames.states() + "another", "", {}}}, {}});
+      model.handle(net::now(), store::Txn{{}, {store::Put{kNames.task_states() + "another", "", {}}}, {}});
   });
   for (int i = 0; i < 5; ++i) {
     const auto before = server.with([](auto& model) { return beaten(model); });
@@ -83,7 +83,7 @@
   }
   server.with([&](auto& model) { model = then; });
   for (std::size_t i = 0; i < 3; ++i) CHECK(program(i).until("the store was set back to an older state"));
-  server.wait([](auto& model) { return all(model, kNames.alive()).empty(); });  // their leases have ended
+  server.wait([](auto& model) { return all(model, kNames.member()).empty(); });  // their leases have ended
   CHECK(server.with([&](auto& model) { return table(model) == table(const_cast<StoreModel&>(then)); }));
 }
 
@@ -92,7 +92,7 @@
   standin::StoreServer server;
   for (const auto& [key, words] :
        {std::pair{kNames.format(), "the store holds another form under /yokestream/"},
-        std::pair{kNames.state(coordination::Fleet::kDuty),
+        std::pair{kNames.task_state(coordination::FleetMember::kLoadShareTask),
                   "the store's record /yokestream/state/shares can't be read"}}) {
     server.with([&, &at = key](auto& model) {
       model = StoreModel();
--- a/tests/processes/fleet_test.cpp
+++ b/tests/processes/fleet_test.cpp
@@ -55,7 +55,7 @@
   program(first).tell(SIGTERM);
   wait_for_next(old);
   // its lease was given back: no session of it is left, though the lease had time to run
-  server.wait([&](StoreModel& model) { return all(model, kNames.alive()).size() == 2; });
+  server.wait([&](StoreModel& model) { return all(model, kNames.member()).size() == 2; });
   CHECK(program(first).ended() == 0);
   wait_for_all(2);
 }
--- a/tests/processes/migration_files_test.cpp
+++ b/tests/processes/migration_files_test.cpp
@@ -16,7 +16,7 @@
   CHECK(fleet("propose", plan("beside", 100, to(18, "old", "new")), 2).status == 0);
   wait_for_end("second");
   CHECK(ended("second") == "turned down: area 17 is in plan south");
-  CHECK(server.with([](StoreModel& model) { return record(model).ended.count("south"); }) == 0);
+  CHECK(server.with([](StoreModel& model) { return record(model).outcomes.count("south"); }) == 0);
   wait_for_end("beside");
   CHECK(ended("beside") == "done");
   wait_for_end();
--- a/tests/processes/migration_test.cpp
+++ b/tests/processes/migration_test.cpp
@@ -70,7 +70,8 @@
   program(first).ended();
   managers[first]->start();
   wait_for_next(old);
-  server.wait([&](StoreModel& model) { return record(model).term > old; });  // it has let the newcomer in
+  server.wait(
+      [&](StoreModel& model) { return record(model).fencing_token > old; });  // it has let the newcomer in
   CHECK(server.with([&](StoreModel& model) { return record(model).plans[0].steps; }) == stands);
   CHECK(fleet("status").words.find("plan south: halted: staff asked for it") != std::string::npos);
   CHECK(fleet("resume", "south").status == 0);
--- a/tests/processes/moving.h
+++ b/tests/processes/moving.h
@@ -10,15 +10,16 @@
 
 namespace yokestream::test {
 
-using migration::Mover;
-using migration::Record;
+using migration::MigrationRecord;
+using migration::MigrationTask;
 
 inline constexpr int kLoads = 16;  // ids of loads begin with this number, or one a little higher
 inline const char* const kLoadIds = "0000001";
 
-inline Record record(StoreModel& model) {
-  const auto found = model.range({kNames.state(Mover::kName), {}, 0});
-  return found.empty() ? Record{} : migration::decode_record(found[0].value).value_or(Record{});
+inline MigrationRecord record(StoreModel& model) {
+  const auto found = model.range({kNames.task_state(MigrationTask::kName), {}, 0});
+  return found.empty() ? MigrationRecord{}
+                       : migration::decode_record(found[0].value).value_or(MigrationRecord{});
 }
 
 struct Second {
@@ -71,10 +72,10 @@
     });
   }
   void wait_for_end(const std::string& name = "south") {
-    server.wait([&](StoreModel& model) { return record(model).ended.count(name) == 1; });
+    server.wait([&](StoreModel& model) { return record(model).outcomes.count(name) == 1; });
   }
   std::string ended(const std::string& name = "south") {
-    return server.with([&](StoreModel& model) { return record(model).ended[name]; });
+    return server.with([&](StoreModel& model) { return record(model).outcomes[name]; });
   }
   // No load came twice, and none came to the old side after one had come to the new one.
   void check_loads() {
