--- a/tests/processes/three_managers.h
+++ b/tests/processes/three_managers.h
@@ -18,24 +18,24 @@
 using standin::Link;
 using standin::StoreModel;
 
-inline const coordination::Names kNames("/yokestream");
-inline const std::string kLine = kNames.line(coordination::Fleet::kDuty);
+inline const coordination::StoreKeys kNames("/yokestream");
+inline const std::string kLine = kNames.candidates(coordination::FleetMember::kLoadShareTask);
 
 inline std::vector<store::KeyValue> all(StoreModel& model, const std::string& prefix) {
-  return model.range({prefix, store::after_prefix(prefix), 0});
+  return model.range({prefix, store::prefix_range_end(prefix), 0});
 }
 inline std::vector<store::KeyValue> line(StoreModel& model) {  // the owner first
   auto out = all(model, kLine);
-  std::sort(out.begin(), out.end(), [](auto& a, auto& b) { return a.create < b.create; });
+  std::sort(out.begin(), out.end(), [](auto& a, auto& b) { return a.create_revision < b.create_revision; });
   return out;
 }
-inline std::optional<coordination::Table> table(StoreModel& model) {
-  const auto found = model.range({kNames.state(coordination::Fleet::kDuty), {}, 0});
-  return found.empty() ? std::nullopt : coordination::decode_table(found[0].value);
+inline std::optional<coordination::LoadShareTable> table(StoreModel& model) {
+  const auto found = model.range({kNames.task_state(coordination::FleetMember::kLoadShareTask), {}, 0});
+  return found.empty() ? std::nullopt : coordination::decode_load_share_table(found[0].value);
 }
 inline std::optional<store::Revision> beaten(StoreModel& model) {
-  const auto found = model.range({kNames.beat(coordination::Fleet::kDuty), {}, 0});
-  return found.empty() ? std::nullopt : std::optional(found[0].mod);
+  const auto found = model.range({kNames.leader_progress(coordination::FleetMember::kLoadShareTask), {}, 0});
+  return found.empty() ? std::nullopt : std::optional(found[0].mod_revision);
 }
 
 struct Manager {
@@ -81,8 +81,8 @@
   void wait_for_all(std::size_t count) {
     server.wait([&](StoreModel& model) {
       const auto now_there = table(model);
-      return line(model).size() == count && now_there && now_there->parts.size() == count &&
-             beaten(model) > line(model)[0].create;
+      return line(model).size() == count && now_there && now_there->shares.size() == count &&
+             beaten(model) > line(model)[0].create_revision;
     });
   }
   std::size_t owner() {  // by its name, which its key holds
@@ -90,13 +90,14 @@
     return static_cast<std::size_t>(name.back() - '0');
   }
   store::Revision term() {
-    return server.with([](auto& model) { return line(model)[0].create; });
+    return server.with([](auto& model) { return line(model)[0].create_revision; });
   }
   // Another owner than that of this term, and it has done something.
   void wait_for_next(store::Revision old) {
     server.wait([&](StoreModel& model) {
       const auto now_there = line(model);
-      return !now_there.empty() && now_there[0].create > old && beaten(model) > now_there[0].create;
+      return !now_there.empty() && now_there[0].create_revision > old &&
+             beaten(model) > now_there[0].create_revision;
     });
   }
   Program& program(std::size_t i) { return *managers[i]->program; }
