--- a/include/yokestream/policy/settings.h
+++ b/include/yokestream/policy/settings.h
@@ -1,4 +1,4 @@
-// The names of things and the settings of an AdmissionController (admission.h).
+// The identifiers and the settings of an AdmissionController (admission_controller.h).
 #pragma once
 
 #include <chrono>
@@ -21,10 +21,10 @@
 using Time = CallerClock::time_point;
 
 enum class QueryId : std::uint64_t {};
-enum class ClassId : std::uint32_t {};
-enum class TenantId : std::uint32_t {};
+enum class ClassId : std::uint32_t {};   // position in Settings::classes
+enum class TenantId : std::uint32_t {};  // position in Settings::tenants
 enum class ZoneId : std::uint32_t {};
-enum class KindId : std::uint32_t {};
+enum class KindId : std::uint32_t {};  // position in Settings::kinds
 enum class CellId : std::uint64_t {};
 enum class TableGroupId : std::uint64_t {};
 enum class OrderKey : std::uint64_t {};
@@ -35,11 +35,16 @@
   auto operator<=>(const EngineId&) const = default;
 };
 
-enum class Idempotency { idempotent, keyed, non_idempotent };  // may a query run twice?
-enum class DeduplicationScope { everywhere, zone, cell };      // keyed: the engines that drop a repeat
-enum class EngineListSource { pushed, on_request };            // how the engine list reaches the front
-enum class LoadReportSource { none, answers, probes };         // where load reports come from
-enum class MemoryShortage { wait, shrink, page };  // what an engine does when grants pass its memory
+// Whether a query may run twice. Keyed: engines drop the duplicate by its idempotency key.
+enum class Idempotency { idempotent, keyed, non_idempotent };
+// Keyed queries: the engines that drop a duplicate of what one of them ran.
+enum class DeduplicationScope { everywhere, zone, cell };
+// How the engine list reaches the manager.
+enum class EngineListSource { pushed, on_request };
+// Where load reports come from.
+enum class LoadReportSource { none, answers, probes };
+// What an engine does when grants pass its memory.
+enum class MemoryShortage { wait, shrink, page };
 enum class LoadReportField {
   inflight,
   queue,
@@ -54,22 +59,22 @@
 
 struct ClassSettings {
   std::string name;
-  Duration latency_objective{};  // answered within this (longer by aim_stretch x work / threads): full worth
+  // A response within latency_objective + latency_objective_stretch x work / threads has its full weight.
+  Duration latency_objective{};
   double latency_objective_stretch = 0;
-  Duration deadline{};  // what a client waits over all of its tries
+  Duration deadline{};  // that a client waits over all of its tries
   double priority_weight = 1;
-  double late_weight_ratio = 0;  // share of the worth after the aim
+  double late_weight_ratio = 0;  // of the weight, after the objective
   Idempotency idempotency = Idempotency::idempotent;
   DeduplicationScope deduplication_scope = DeduplicationScope::everywhere;
-  Duration
-      deduplication_window{};  // keyed: how long an engine remembers, from the first send that may have run
-  bool ordered = false;        // queries of one OrderKey run one at a time, in order of arrival
+  Duration deduplication_window{};  // that an engine remembers, from the first send that may have run
+  bool ordered = false;             // queries of one OrderKey run one at a time, in order of arrival
   bool streamed = false;
   std::vector<ZoneId> allowed_zones;   // empty: any
   std::vector<KindId> allowed_kinds;   // empty: any
-  double threads = 1;                  // threads that a query runs on
-  bool locks_table_group = false;      // holds its table group while it runs
-  bool waits_for_table_group = false;  // stands still while its table group is held
+  double threads = 1;                  // that a query runs on
+  bool locks_table_group = false;      // while it runs
+  bool waits_for_table_group = false;  // stands still while its table group is locked
 };
 struct KindSettings {
   double cores = 1;
@@ -77,7 +82,7 @@
 };
 struct TenantSettings {
   double share = 0;
-  double quota_per_s = 0;  // 0: none
+  double quota_per_s = 0;  // queries; 0: none
 };
 struct Settings {
   std::vector<ClassSettings> classes;
@@ -86,38 +91,39 @@
   std::size_t zones = 1;
   ZoneId local_zone{};
   ManagerId manager_id{};
-  std::uint32_t manager_count = 1;  // fronts in this tier
+  std::uint32_t manager_count = 1;  // that share the engines, this one included
   Duration time_granularity{};      // shortest time between two calls at different times
 
-  bool may_cancel = false;
-  bool may_probe = false;
-  bool may_message = false;
+  bool may_cancel = false;            // attempts
+  bool may_probe = false;             // engines
+  bool may_message = false;           // other managers
   bool may_hedge = false;             // two attempts of a query at once
-  bool may_send_retry_after = false;  // clients hear Refuse::come_back_after
+  bool may_send_retry_after = false;  // clients are told Reject::retry_after
   Duration max_retry_after{};
-  std::uint32_t max_attempts = 1;
+  std::uint32_t max_attempts = 1;  // of one query
   EngineListSource engine_list_source = EngineListSource::pushed;
   LoadReportSource load_report_source = LoadReportSource::none;
   std::vector<LoadReportField> load_report_fields;
 
-  bool memory_grants = false;         // engines heed SetTerms::memory_mb
-  bool query_priorities = false;      // engines heed SetTerms::priority
-  double max_memory_grant_ratio = 1;  // share of an engine's memory that one query gets at most
+  bool memory_grants = false;         // engines heed SetExecutionTerms::memory_grant_mb
+  bool query_priorities = false;      // engines heed SetExecutionTerms::priority
+  double max_memory_grant_ratio = 1;  // of an engine's memory, for one query
   MemoryShortage memory_shortage = MemoryShortage::wait;
-  Duration progress_interval{};  // time between progress notes; 0: none
-  bool reports_cost = false;     // answers tell the work and memory that a query needed
-  double over_quota_weight_ratio =
-      1;  // worth of a query beyond its tenant's share, as a share of its class's
+  Duration progress_interval{};        // between two words of progress of an attempt; 0: none come
+  bool reports_cost = false;           // responses report the work and memory that a query needed
+  double over_quota_weight_ratio = 1;  // weight of a query beyond its tenant's quota, of its class's
 
   Duration answer_slack{};
   Duration drain_grace{};
-  double slow_start_initial_ratio = 1;  // share of its capacity at which an engine starts
-  Duration slow_start_window{};         // warm after this; 0: engines start warm
-  double cold_overload_multiple = 0;    // 0: no such limit
+  double slow_start_initial_ratio = 1;  // of its capacity, at which an engine starts
+  Duration slow_start_window{};         // an engine is warm after this; 0: engines start warm
+  // A warming engine is overloaded by work of this multiple of its present capacity within the window.
+  double cold_overload_multiple = 0;  // 0: no such limit
   Duration cold_overload_window{};
-  Duration engine_list_request_deadline{};
-  Duration order_pause{};
-  bool retry_budget_enabled = false;  // are further attempts rationed?
+  Duration engine_list_request_deadline{};  // the list is asked for within this
+  Duration order_pause{};                   // of an order key, after an attempt that may still run
+  // Retries within the window: the minimum and the ratio of the requests that arrived in it.
+  bool retry_budget_enabled = false;
   double retry_budget_min_retries = 0;
   double retry_budget_ratio = 0;
   Duration retry_budget_window{};
--- /dev/null
+++ b/src/policy/engine_capacity.cpp
@@ -0,0 +1,82 @@
+#include "engine_capacity.h"
+
+#include <algorithm>
+
+namespace yokestream::policy {
+namespace {
+
+// Threads a core that saturate an engine: where nearly all are this manager's, some of them stand still; to
+// one manager of many, whose view is old, most still do all their work.
+constexpr double kSaturationAlone = 4;
+constexpr double kSaturationOneOfMany = 2.6;
+constexpr double kOverQuotaRatio = 0.7;  // of what saturates an engine, for queries over their quota
+// Shares of an engine's memory that may be granted.
+constexpr double kMemoryRatioUnreported = 1.0;  // by all managers, as far as they are seen
+constexpr double kMemoryRatioReported = 0.8;    // the same where reports tell it: near 1 most queries spill
+constexpr double kOwnMemoryRatio = 1.5;         // of this manager's share: needs lie under the estimates
+constexpr double kLeastUnloaded_s = 1e-3;
+
+}  // namespace
+
+PeerLoad::EngineFacts EngineCapacity::facts(const Engine& engine, Time now) const {
+  return {engine.cores, engine.memory_mb, in_.slow_start.is_warming(engine.slow_start, now)};
+}
+
+double EngineCapacity::unloaded_s(const Query& query) const {
+  return std::max(kLeastUnloaded_s, query.work_s / class_of(query).threads);
+}
+
+double EngineCapacity::memory_grant_mb(const Query& query, const Engine& engine) const {
+  const double wanted =
+      query.request.memory_mb * in_.workload.memory_factor(index_of(query.request.query_class));
+  if (engine.memory_mb <= 0) return wanted;
+  return std::min(wanted, engine.memory_mb * in_.settings.max_memory_grant_ratio);
+}
+
+double EngineCapacity::peer_threads(const Engine& engine, Time now) const {
+  return in_.peer_load.threads(engine.peers, facts(engine, now));
+}
+
+bool EngineCapacity::is_under_pressure(const Engine& engine, Time now) const {
+  return in_.bound.is_under_pressure(engine.concurrency,
+                                     in_.congestion.engine_slowdown(engine.congestion, now));
+}
+
+double EngineCapacity::saturation_threads_per_core(const Query& query) const {
+  const double share = in_.load_share.value();
+  const double threads =
+      std::max(kSaturationOneOfMany * (1 - share),
+               kSaturationThreadsPerCore + (kSaturationAlone - kSaturationThreadsPerCore) * share);
+  return threads * (query.over_quota ? kOverQuotaRatio : 1);
+}
+
+double EngineCapacity::free_threads(const Query& query, const Engine& engine, Time now) const {
+  return saturation_threads_per_core(query) * engine.cores * engine.slow_start.warm_fraction -
+         engine.own.threads - peer_threads(engine, now);
+}
+
+bool EngineCapacity::has_capacity_beside_peers(const Query& query, const Engine& engine, Time now) const {
+  const double ratio = in_.peer_load.memory_is_reported() ? kMemoryRatioReported : kMemoryRatioUnreported;
+  const double memory_ratio = ratio + (kOwnMemoryRatio - ratio) * in_.load_share.value();
+  const double peer_memory_mb =
+      in_.peer_load.memory_mb(engine.peers, facts(engine, now), in_.workload.unannounced());
+  if (engine.memory_mb > 0 && engine.own.memory_mb + peer_memory_mb + memory_grant_mb(query, engine) >
+                                  memory_ratio * engine.memory_mb)
+    return false;
+  return engine.own.threads + peer_threads(engine, now) + class_of(query).threads <=
+         saturation_threads_per_core(query) * engine.cores * engine.slow_start.warm_fraction;
+}
+
+bool EngineCapacity::has_capacity(const Query& query, const Engine& engine, Time now) const {
+  if (in_.bound.is_saturated(engine.concurrency, now)) return false;
+  if (in_.peer_load.is_visible() && !has_capacity_beside_peers(query, engine, now)) return false;
+  if (engine.own.queries.empty()) return true;
+  if (engine.memory_mb > 0 && engine.own.memory_mb + memory_grant_mb(query, engine) >
+                                  kOwnMemoryRatio * engine.memory_mb * engine.concurrency.share)
+    return false;
+  const double slowdown = in_.congestion.engine_slowdown(engine.congestion, now);
+  return engine.own.threads <
+         in_.bound.engine_limit(engine.concurrency, slowdown, engine.cores, engine.slow_start.warm_fraction);
+}
+
+}  // namespace yokestream::policy
--- /dev/null
+++ b/src/policy/engine_capacity.h
@@ -0,0 +1,52 @@
+// Whether an engine has capacity for a query: by what this manager runs there, by what others are seen to
+// run, and by memory.
+#pragma once
+
+#include "concurrency_bound.h"
+#include "congestion_tracker.h"
+#include "engine.h"
+#include "load_share.h"
+#include "peer_load.h"
+#include "slow_start.h"
+#include "workload_statistics.h"
+
+namespace yokestream::policy {
+
+class EngineCapacity {
+ public:
+  // All must outlive this.
+  struct Inputs {
+    const Settings& settings;
+    const LoadShare& load_share;
+    const PeerLoad& peer_load;
+    const ConcurrencyBound& bound;
+    const CongestionTracker& congestion;
+    const SlowStart& slow_start;
+    const WorkloadStatistics& workload;
+  };
+  explicit EngineCapacity(const Inputs& inputs) : in_(inputs) {}
+
+  bool has_capacity(const Query& query, const Engine& engine, Time now) const;
+  // Threads that all managers together may still run there; below 0: none.
+  double free_threads(const Query& query, const Engine& engine, Time now) const;
+  // Threads that other managers run there.
+  double peer_threads(const Engine& engine, Time now) const;
+  // Megabytes that the query is granted there; 0: the engine's own choice.
+  double memory_grant_mb(const Query& query, const Engine& engine) const;
+  bool is_under_pressure(const Engine& engine, Time now) const;
+  // Time on an idle engine, in seconds.
+  double unloaded_s(const Query& query) const;
+
+  PeerLoad::EngineFacts facts(const Engine& engine, Time now) const;
+
+ private:
+  const ClassSettings& class_of(const Query& query) const {
+    return in_.settings.classes[index_of(query.request.query_class)];
+  }
+  bool has_capacity_beside_peers(const Query& query, const Engine& engine, Time now) const;
+  double saturation_threads_per_core(const Query& query) const;
+
+  const Inputs in_;
+};
+
+}  // namespace yokestream::policy
