--- a/src/policy/attempt_watchdog.cpp
+++ b/src/policy/attempt_watchdog.cpp
@@ -28,9 +28,9 @@
 // Failure: the work is done, or given up, but its answer never comes, while the engine serves the rest.
 // Symptom: one query runs into its deadline on a healthy engine. Guard: progress of what runs comes on time;
 // an attempt without it is cancelled. It costs an attempt where progress is late.
-bool AttemptWatchdog::answer_lost(const Attempt& attempt, Time engine_heard, Time now) const {
+bool AttemptWatchdog::answer_lost(const Attempt& attempt, Time engine_last_response, Time now) const {
   if (!settings_.may_cancel || !tells_progress() || !retries_.allows_retry(now)) return false;
-  if (engine_heard <= attempt.sent) return false;
+  if (engine_last_response <= attempt.sent) return false;
   const double silent_s = to_seconds(now - std::max(attempt.sent, attempt.last_progress));
   return silent_s > kMissedProgressOfLostAnswer * to_seconds(settings_.progress_interval);
 }
--- a/src/policy/attempt_watchdog.h
+++ b/src/policy/attempt_watchdog.h
@@ -17,8 +17,8 @@
   AttemptWatchdog(const Settings& settings, const CongestionTracker& congestion, const RetryBudget& retries)
       : settings_(settings), congestion_(congestion), retries_(retries) {}
 
-  // `engine_heard`: when the engine gave its last sign of life.
-  bool answer_lost(const Attempt& attempt, Time engine_heard, Time now) const;
+  // `engine_last_response`: when the engine gave its last sign of life.
+  bool answer_lost(const Attempt& attempt, Time engine_last_response, Time now) const;
   bool timed_out(const Query& query, const Attempt& attempt, Time now) const;
   // Progress of `done` (share of the work, above 0) was told. True: the attempt has a bad plan; the query
   // remembers how long it would have taken.
--- a/src/policy/congestion_tracker.cpp
+++ b/src/policy/congestion_tracker.cpp
@@ -6,14 +6,15 @@
 namespace yokestream::policy {
 namespace {
 
-constexpr double kClassStep = 0.03;        // weight of one outcome in a class's mean
-constexpr double kBestFollowStep = 0.002;  // by which the best follows a worse mean, an outcome
-constexpr double kEngineStep = 0.1;        // least weight of one outcome in an engine's mean
-constexpr double kCongestionStep = 0.08;   // weight of one outcome in the congestion
-constexpr double kMaxLogSlowdown = 2.0;    // no outcome counts for more
-constexpr double kHalfTrustOutcomes = 6;   // recent outcomes at which an engine's own mean counts half
-constexpr double kOutcomesFade_s = 10;     // after which recent outcomes count a third
-constexpr double kCongestionFade_s = 8;    // without outcomes, after which a third of the congestion is left
+constexpr double kClassStep = 0.03;          // weight of one outcome in a class's mean
+constexpr double kBestFollowStep = 0.002;    // by which the best follows a worse mean, an outcome
+constexpr double kEngineStep = 0.1;          // least weight of one outcome in an engine's mean
+constexpr double kCongestionStep = 0.08;     // weight of one outcome in the congestion
+constexpr double kMaxLogSlowdown = 2.0;      // no outcome counts for more
+constexpr double kHalfTrustOutcomes = 6;     // recent outcomes at which an engine's own mean counts half
+constexpr double kOutcomesFadeSeconds = 10;  // after which recent outcomes count a third
+constexpr double kCongestionFadeSeconds =
+    8;  // without outcomes, after which a third of the congestion is left
 constexpr double kLeastSlowdown = 1e-3;
 
 }  // namespace
@@ -44,11 +45,13 @@
 
 void CongestionTracker::record_shed() { congestion_ += kCongestionStep * (kMaxLogSlowdown - congestion_); }
 
-void CongestionTracker::decay(double elapsed_s) { congestion_ *= std::exp(-elapsed_s / kCongestionFade_s); }
+void CongestionTracker::decay(double elapsed_s) {
+  congestion_ *= std::exp(-elapsed_s / kCongestionFadeSeconds);
+}
 
 double CongestionTracker::recent_outcomes(const EngineState& engine, Time now) const {
   if (engine.outcomes <= 0) return 0;
-  return engine.outcomes * std::exp(-to_seconds(now - engine.updated_at) / kOutcomesFade_s);
+  return engine.outcomes * std::exp(-to_seconds(now - engine.updated_at) / kOutcomesFadeSeconds);
 }
 
 double CongestionTracker::engine_slowdown(const EngineState& engine, Time now) const {
--- a/src/policy/engine_capacity.cpp
+++ b/src/policy/engine_capacity.cpp
@@ -14,7 +14,7 @@
 constexpr double kMemoryRatioUnreported = 1.0;  // by all managers, as far as they are seen
 constexpr double kMemoryRatioReported = 0.8;    // the same where reports tell it: near 1 most queries spill
 constexpr double kOwnMemoryRatio = 1.5;         // of this manager's share: needs lie under the estimates
-constexpr double kLeastUnloaded_s = 1e-3;
+constexpr double kLeastUnloadedSeconds = 1e-3;
 
 }  // namespace
 
@@ -23,7 +23,7 @@
 }
 
 double EngineCapacity::unloaded_s(const Query& query) const {
-  return std::max(kLeastUnloaded_s, query.work_s / class_of(query).threads);
+  return std::max(kLeastUnloadedSeconds, query.work_s / class_of(query).threads);
 }
 
 double EngineCapacity::memory_grant_mb(const Query& query, const Engine& engine) const {
--- a/src/policy/engine_selector.cpp
+++ b/src/policy/engine_selector.cpp
@@ -12,8 +12,8 @@
 constexpr int kMaxProbesPerQuery = 2;  // more would make all managers find the same idle engine
 constexpr Duration kProbeAgainAfter = std::chrono::milliseconds(500);
 constexpr double kProbeFromSaturation =
-    0.6;                                 // share of saturation, in the mean, from which all queries probe
-constexpr double kReportFresh_s = 0.25;  // for which a report is as good as a probe
+    0.6;  // share of saturation, in the mean, from which all queries probe
+constexpr double kReportFreshSeconds = 0.25;  // for which a report is as good as a probe
 constexpr double kFreshReportWeight = 0.8;
 constexpr double kTieBreakNoise = 1e-3;
 
@@ -135,7 +135,7 @@
     const Time seen_at = std::max(engine.peers.reported_at, engine.peers.probed_at);
     // A probe of an ejected engine is a recovery probe that costs no query.
     if (OutlierDetector::may_probe(engine.outlier, now) && may_send(query, engine, now) &&
-        to_seconds(now - seen_at) > kReportFresh_s)
+        to_seconds(now - seen_at) > kReportFreshSeconds)
       candidates.push_back(&engine);
   }
   ProbePlan plan;
--- a/src/policy/peer_load.cpp
+++ b/src/policy/peer_load.cpp
@@ -6,9 +6,9 @@
 namespace yokestream::policy {
 namespace {
 
-constexpr double kReportFade_s = 1.5;  // after which a report counts a third at its engine
-constexpr double kMeanFade_s = 6;      // after which a report counts a third in the mean over all engines
-constexpr double kPriorWeight = 0.3;   // of what is presumed before any report, in fresh reports
+constexpr double kReportFadeSeconds = 1.5;  // after which a report counts a third at its engine
+constexpr double kMeanFadeSeconds = 6;  // after which a report counts a third in the mean over all engines
+constexpr double kPriorWeight = 0.3;    // of what is presumed before any report, in fresh reports
 constexpr double kPriorThreadsPerCore = 1;
 constexpr double kPriorMemoryRatio = 0.3;
 
@@ -94,7 +94,7 @@
 }
 
 void PeerLoad::refresh(EngineState& engine, Time now) const {
-  engine.report_weight = std::exp(-to_seconds(now - engine.reported_at) / kReportFade_s);
+  engine.report_weight = std::exp(-to_seconds(now - engine.reported_at) / kReportFadeSeconds);
 }
 
 // Failure: answers come most from where most runs, so a mean over answers shows the crowded engines for all.
@@ -103,7 +103,7 @@
 // report, beside what is presumed.
 void PeerLoad::count_in(Mean& mean, const EngineState& engine, const EngineFacts& facts, Time now) const {
   if (engine.reported_at == kLongAgo) return;
-  const double weight = std::exp(-to_seconds(now - engine.reported_at) / kMeanFade_s);
+  const double weight = std::exp(-to_seconds(now - engine.reported_at) / kMeanFadeSeconds);
   mean.weight += weight;
   mean.threads_per_core += weight * engine.unannounced_threads / facts.cores;
   if (facts.memory_mb > 0) mean.memory_ratio += weight * engine.unannounced_memory_mb / facts.memory_mb;
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -6,10 +6,10 @@
 namespace yokestream::policy {
 namespace {
 
-constexpr double kRetryAfterCost_s = 1.0;  // told to a query that is rejected for its cost or its quota
-constexpr double kLeastRetryAfter_s = 0.05;
+constexpr double kRetryAfterCostSeconds = 1.0;  // told to a query that is rejected for its cost or its quota
+constexpr double kLeastRetryAfterSeconds = 0.05;
 constexpr double kErrorMargin = 1.3;  // mean errors of an estimate that are kept free under pressure
-constexpr double kLeastAnnounced_s = 1e-3;
+constexpr double kLeastAnnouncedSeconds = 1e-3;
 constexpr int kLastTicks = 2;  // before its deadline a queued query is answered
 
 // Priorities that an engine is told, by the value of a second of work over its mean.
@@ -38,7 +38,7 @@
   if (!rules_.has_turn(query, now_) && now_ + kTickInterval < query.deadline)
     return Placement::lets_others_pass;
   if (threshold_.rejects(workload_.cost_per_value(query)) && !rules_.out_of_attempts(query, now_)) {
-    reject(query, kRetryAfterCost_s);
+    reject(query, kRetryAfterCostSeconds);
     return Placement::lets_others_pass;
   }
   if (may_send) {
@@ -50,7 +50,7 @@
       bound_.pool_has_capacity(running_threads_, class_of(query).threads, congestion_.congestion());
   const EngineChoice choice = selector_.choose(query, pool_has_capacity, now_);
   if (query.over_quota && choice.any_permitted && !choice.engine) {
-    reject(query, kRetryAfterCost_s);
+    reject(query, kRetryAfterCostSeconds);
     return Placement::lets_others_pass;
   }
   return place_by_choice(query, choice, may_send);
@@ -145,7 +145,7 @@
   message.engine_hash = engine_hash(engine.entry.engine.name);
   message.class_index = index_of(query.request.query_class);
   message.memory_mb = attempt.memory_grant_mb;
-  message.remaining_s = std::max(kLeastAnnounced_s, attempt.estimate_s);
+  message.remaining_s = std::max(kLeastAnnouncedSeconds, attempt.estimate_s);
   if (class_of(query).locks_table_group) message.locked_tables = query.request.table_group;
   emit(BroadcastToPeers{encode(message)});
 }
@@ -165,7 +165,7 @@
   Duration retry_after{};
   if (settings_.may_send_retry_after)
     retry_after =
-        std::min(settings_.max_retry_after, from_seconds(std::max(kLeastRetryAfter_s, retry_after_s)));
+        std::min(settings_.max_retry_after, from_seconds(std::max(kLeastRetryAfterSeconds, retry_after_s)));
   emit(Reject{query.request.query, retry_after});
 }
 
--- a/src/policy/query_events.cpp
+++ b/src/policy/query_events.cpp
@@ -44,8 +44,8 @@
   query->request.eligible_engines = event.eligible_engines;
   const bool none_eligible = event.eligible_engines && event.eligible_engines->none();
   if (query->finished || query->attempts_in_flight > 0 || !none_eligible) return;
-  constexpr double kRetryAfter_s = 1;
-  reject(*query, kRetryAfter_s);
+  constexpr double kRetryAfterSeconds = 1;
+  reject(*query, kRetryAfterSeconds);
   forget_if_done(event.query);
 }
 
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -10,7 +10,7 @@
 constexpr double kGrowthRatio = 0.5;  // of an even growth while it warms up, which is not told
 constexpr double kSpreadDeviations = 1.5;  // of all managers' work together that are kept free
 constexpr double kCapacityCoreUse = 0.85;  // core use that the capacity of an engine means
-constexpr double kNever_s = 1e8;
+constexpr double kNeverSeconds = 1e8;
 
 }  // namespace
 
@@ -57,7 +57,7 @@
   const double window_s = to_seconds(settings_.cold_overload_window);
   const double budget_s =
       kBudgetRatio * settings_.cold_overload_multiple * fraction * cores * kCapacityCoreUse * window_s;
-  if (work_s >= budget_s) return kNever_s;
+  if (work_s >= budget_s) return kNeverSeconds;
   const double half_spread = kSpreadDeviations / 2 * std::sqrt(work_s * (1 - 1.0 / manager_count));
   const double root = std::sqrt(half_spread * half_spread + budget_s - work_s) - half_spread;
   return window_s * work_s * manager_count / (root * root);
--- a/src/policy/table_group_locks.cpp
+++ b/src/policy/table_group_locks.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr Duration kLostReleaseAfter = std::chrono::milliseconds(3000);  // past the expected end
-constexpr double kOverdueRemaining_s = 0.2;  // presumed of a lock past its expected end
+constexpr double kExpiredRemainingSeconds = 0.2;  // presumed of a lock past its expected end
 
 }  // namespace
 
@@ -28,7 +28,7 @@
   double remaining = 0;
   const auto [from, to] = locks_.equal_range(wire_id(tables));
   for (auto it = from; it != to; ++it)
-    remaining = std::max(remaining, std::max(kOverdueRemaining_s, to_seconds(it->second.second - now)));
+    remaining = std::max(remaining, std::max(kExpiredRemainingSeconds, to_seconds(it->second.second - now)));
   return remaining;
 }
 
--- a/src/policy/workload_statistics.cpp
+++ b/src/policy/workload_statistics.cpp
@@ -15,7 +15,7 @@
 constexpr double kMemoryFactorDecay = 0.998;
 constexpr int kTimeLeftVote = 2;
 constexpr int kMaxTimeLeftVotes = 40;  // arrivals of another kind that change what is usual
-constexpr double kLeastWork_s = 1e-3;
+constexpr double kLeastWorkSeconds = 1e-3;
 constexpr double kLeastOverQuotaRatio = 0.01;
 
 }  // namespace
@@ -29,11 +29,11 @@
   const std::size_t class_index = index_of(request.query_class);
   if (!request.work) return usual_work_s(class_index, class_bias);
   ClassState& state = classes_[class_index];
-  const double told_s = to_seconds(*request.work);
-  const double work_s = told_s * state.work_factor;
+  const double estimated_s = to_seconds(*request.work);
+  const double work_s = estimated_s * state.work_factor;
   ++state.arrivals;
   state.mean_estimated_work_s +=
-      std::max(kArrivalWeight, 1 / state.arrivals) * (told_s - state.mean_estimated_work_s);
+      std::max(kArrivalWeight, 1 / state.arrivals) * (estimated_s - state.mean_estimated_work_s);
   return work_s;
 }
 
@@ -84,9 +84,10 @@
 }
 
 // A mean of logarithms: an attempt with a bad plan takes many times its told work, and told work scatters.
-void WorkloadStatistics::observe_reported_work(std::size_t class_index, Duration told, Duration reported) {
+void WorkloadStatistics::observe_reported_work(std::size_t class_index, Duration estimated,
+                                               Duration reported) {
   ClassState& state = classes_[class_index];
-  const double ratio = to_seconds(reported) / (to_seconds(told) * state.work_factor);
+  const double ratio = to_seconds(reported) / (to_seconds(estimated) * state.work_factor);
   ++state.cost_reports;
   state.work_factor *=
       std::pow(ratio, std::max(kWorkFactorStep, 1 / (state.cost_reports + kPresumedCostReports)));
@@ -114,7 +115,7 @@
 }
 
 double WorkloadStatistics::value_per_work_second(const Query& query) const {
-  return settings_of(query).priority_weight / std::max(kLeastWork_s, query.work_s);
+  return settings_of(query).priority_weight / std::max(kLeastWorkSeconds, query.work_s);
 }
 
 double WorkloadStatistics::relative_value(const Query& query) const {
--- a/src/policy/workload_statistics.h
+++ b/src/policy/workload_statistics.h
@@ -31,7 +31,7 @@
   void observe_mean_work(double work_s);
 
   // A response told the work that the query took.
-  void observe_reported_work(std::size_t class_index, Duration told, Duration reported);
+  void observe_reported_work(std::size_t class_index, Duration estimated, Duration reported);
   void observe_fitting_memory(std::size_t class_index);  // a query ended without spilling
   void observe_spill(std::size_t class_index);           // one got too little memory
 
--- /dev/null
+++ b/tests/unit/policy/admission_controller_test.cpp
@@ -0,0 +1,68 @@
+// The public contract: settings, unknown ids, the same events, stalls.
+#include "manager_harness.h"
+
+namespace yokestream::policy::testing {
+namespace {
+
+TEST(AdmissionController, NamesTheSettingThatMakesNoSense) {
+  auto s = make_settings();
+  s.classes[0].deadline = 0s;
+  try {
+    AdmissionController(s, 1, Time{});
+    FAIL() << "accepted";
+  } catch (const std::invalid_argument& e) {
+    EXPECT_NE(std::string(e.what()).find("classes[0].deadline"), std::string::npos);
+  }
+  auto none = make_settings();
+  none.classes.clear();
+  EXPECT_THROW(AdmissionController(none, 1, Time{}), std::invalid_argument);
+  auto bare = make_settings();
+  bare.manager_count = 0;
+  EXPECT_THROW(AdmissionController(bare, 1, Time{}), std::invalid_argument);
+}
+
+TEST(AdmissionController, ThrowsForUnknownClassesAndIgnoresUnknownIds) {
+  ManagerHarness manager(make_settings());
+  QueryArrived q;
+  q.query_class = ClassId{9};
+  EXPECT_THROW(manager.feed(q), std::invalid_argument);
+  manager.feed(AttemptEnded{QueryId{5}, AttemptNumber{0}, {"x"}, Outcome::served, 1ms, true, {}});
+  manager.feed(AttemptProgress{QueryId{5}, AttemptNumber{3}, {"x"}, ProgressKind::spilling, 4});
+  manager.feed(ClientDisconnected{QueryId{5}});
+  manager.feed(ResponseStarted{QueryId{5}, AttemptNumber{0}, {"x"}});
+  EXPECT_TRUE(manager.finals.empty());
+}
+
+TEST(AdmissionController, GivesTheSameActionsForTheSameEvents) {
+  ManagerHarness a(make_settings()), b(make_settings());
+  for (std::uint64_t id = 1; id < 60; ++id) {
+    const auto q = a.arrive(id);
+    b.arrive(id);
+    a.pass(30ms);
+    b.pass(30ms);
+    if (id % 3 && a.tries(q)) a.end(q, Outcome::served), b.end(q, Outcome::served);
+  }
+  EXPECT_EQ(a.sends, b.sends);
+  EXPECT_EQ(a.finals, b.finals);
+}
+
+TEST(AdmissionController, SendsNothingAfterAStallBeforeTheBacklogIsRead) {
+  auto s = make_settings();
+  s.progress_interval = 500ms;
+  s.may_cancel = true;
+  ManagerHarness manager(s);
+  const auto p = manager.arrive(1);
+  manager.pass(40ms);
+  manager.now += 2s;  // no turn, then all at once
+  const auto q = manager.arrive(2);
+  EXPECT_EQ(manager.tries(q), 0u);
+  manager.list({engine("a", EngineState::draining)});
+  manager.end(p, Outcome::served, 2s);
+  manager.pass(60ms);
+  ASSERT_EQ(manager.tries(q), 1u);
+  EXPECT_EQ(manager.sends[q].front(), "b");
+  EXPECT_TRUE(manager.cancels.empty());
+}
+
+}  // namespace
+}  // namespace yokestream::policy::testing
--- a/tests/handover_test.cpp
+++ b/tests/unit/policy/learned_state_test.cpp
@@ -1,28 +1,29 @@
-// What was learnt, taken over by another controller; and fronts that come and go.
+// Learned state that another controller takes over, and managers that come and go.
 #include <cmath>
 
-#include "bench.h"
+#include "manager_harness.h"
 
 namespace yokestream::policy::testing {
 namespace {
 
 // An engine b that takes four times what is told, and one, a, that takes what is told.
-void teach(Front& f, int pairs = 200) {
+void teach(ManagerHarness& manager, int pairs = 200) {
   for (std::uint64_t id = 1; id <= 2u * pairs; id += 2) {
-    const auto p = f.arrive(id), q = f.arrive(id + 1);
-    f.pass(200ms);
-    for (const auto x : {p, q}) f.end(x, Outcome::served, f.sends[x].front() == "b" ? 400ms : 100ms);
+    const auto p = manager.arrive(id), q = manager.arrive(id + 1);
+    manager.pass(200ms);
+    for (const auto x : {p, q})
+      manager.end(x, Outcome::served, manager.sends[x].front() == "b" ? 400ms : 100ms);
   }
 }
 
-struct Taught : ::testing::Test {
+struct LearnedStateTest : ::testing::Test {
   Settings settings = make_settings({make_class(), make_class(2s)});
-  Front old{settings};
+  ManagerHarness old{settings};
   AdmissionController young{settings, 8, old.now};
-  Taught() { teach(old); }
+  LearnedStateTest() { teach(old); }
 };
 
-TEST_F(Taught, TheValueIsTheSameOnceItIsTakenOver) {
+TEST_F(LearnedStateTest, IsTheSameOnceItIsRestored) {
   const LearnedState known = old.controller().learned_state();
   ASSERT_EQ(known.engines.size(), 2u);
   EXPECT_NE(known.engines[1].learned.interference, known.engines[0].learned.interference);
@@ -32,18 +33,19 @@
   EXPECT_EQ(young.learned_state(), known);
 }
 
-TEST_F(Taught, TheNewOneKnowsTheSlowEngineFromItsFirstQueryOn) {
-  Front cold(settings), warm(settings, {engine("a"), engine("b")}, 7, old.controller().learned_state());
-  const auto on_b = [](Front& f) {
+TEST_F(LearnedStateTest, AvoidsTheSlowEngineFromTheFirstQueryOn) {
+  ManagerHarness cold(settings),
+      warm(settings, {engine("a"), engine("b")}, 7, old.controller().learned_state());
+  const auto on_b = [](ManagerHarness& manager) {
     int count = 0;
-    for (std::uint64_t id = 1; id <= 4; ++id) count += f.sends[f.arrive(id)].front() == "b";
+    for (std::uint64_t id = 1; id <= 4; ++id) count += manager.sends[manager.arrive(id)].front() == "b";
     return count;
   };
   EXPECT_EQ(on_b(cold), 2);
   EXPECT_LE(on_b(warm), 1);
 }
 
-TEST_F(Taught, AnEngineThatWasStartedSinceBeginsWithItsKind) {
+TEST_F(LearnedStateTest, TreatsAnEngineThatWasStartedSinceAsItsKind) {
   LearnedState known = old.controller().learned_state();
   auto again = engine("b");
   again.start_time = old.now;
@@ -54,7 +56,7 @@
   EXPECT_EQ(young.learned_state().engines[0].learned, known.engines[0].learned);
 }
 
-TEST_F(Taught, AFailingEngineIsStillAvoidedForAWhile) {
+TEST_F(LearnedStateTest, AvoidsAFailingEngineForAWhile) {
   LearnedState known = old.controller().learned_state();
   known.engines[1].learned.ejected = true, known.engines[1].learned.failure_ratio = 0.9;
   const auto avoided = [&](Duration age) {
@@ -68,7 +70,7 @@
   EXPECT_EQ(avoided(7s), 0u);
 }
 
-TEST_F(Taught, WhatDoesNotFitChangesNothing) {
+TEST_F(LearnedStateTest, ChangesNothingIfItDoesNotFit) {
   const LearnedState known = old.controller().learned_state();
   const LearnedState own = young.learned_state();
   const auto refused = [&](auto spoil) {
@@ -100,15 +102,16 @@
   int sent = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     for (std::size_t p = 0; p < processes; ++p) {
-      Front f(s, {}, 100 * seed + p);
-      f.controller().set_manager_count(4.0 * static_cast<double>(processes));
-      fresh.start_time = f.now;
-      f.list({fresh}, EngineListKind::full);
+      ManagerHarness manager(s, {}, 100 * seed + p);
+      manager.controller().set_manager_count(4.0 * static_cast<double>(processes));
+      fresh.start_time = manager.now;
+      manager.list({fresh}, EngineListKind::full);
       std::size_t ended = 0;
       for (std::uint64_t id = 1; id <= 100; ++id) {
-        f.arrive(id, 3s, 100ms);
-        f.pass(20ms);
-        for (; ended < f.order.size(); ++ended) f.end(f.order[ended], Outcome::served, 20ms);
+        manager.arrive(id, 3s, 100ms);
+        manager.pass(20ms);
+        for (; ended < manager.order.size(); ++ended)
+          manager.end(manager.order[ended], Outcome::served, 20ms);
       }
       sent += static_cast<int>(ended);
     }
@@ -116,7 +119,7 @@
   return sent;
 }
 
-TEST(Fronts, TwoProcessesOfOneFrontTogetherSendAColdEngineNoMoreThanOne) {
+TEST(ManagerCount, TwoProcessesSendAColdEngineNoMoreThanOne) {
   const int one = sends_to_cold(1), two = sends_to_cold(2);
   EXPECT_GT(one, 20);
   EXPECT_GT(two, one / 2);
--- a/tests/bench.h
+++ b/tests/unit/policy/manager_harness.h
@@ -1,4 +1,4 @@
-// A hand-driven front: feeds a controller and keeps what it asked for.
+// A manager driven by hand: feeds a controller and keeps what it asked for.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -45,10 +45,10 @@
   return e;
 }
 
-class Front {
+class ManagerHarness {
  public:
-  explicit Front(const Settings& s, std::vector<EngineEntry> engines = {engine("a"), engine("b")},
-                 std::uint64_t seed = 7, const std::optional<LearnedState>& known = std::nullopt)
+  explicit ManagerHarness(const Settings& s, std::vector<EngineEntry> engines = {engine("a"), engine("b")},
+                          std::uint64_t seed = 7, const std::optional<LearnedState>& known = std::nullopt)
       : controller_(s, seed, now) {
     if (known) {
       EXPECT_TRUE(controller_.restore(*known, 0s));
--- /dev/null
+++ b/tests/unit/policy/outlier_detector_test.cpp
@@ -0,0 +1,161 @@
+// Engines that fail, fall silent or shed, and how they are let back.
+#include "manager_harness.h"
+
+namespace yokestream::policy::testing {
+namespace {
+
+TEST(OutlierDetector, EjectsAnEngineThatFailsFastAndProbesItAgain) {
+  ManagerHarness manager(make_settings());
+  std::uint64_t id = 1;
+  for (; id < 12; ++id) {
+    const auto q = manager.arrive(id);
+    while (!manager.finals[q])
+      manager.end(q, manager.sends[q].back() == "a" ? Outcome::error : Outcome::served);
+  }
+  int on_a = 0;
+  for (; id < 20; ++id) {
+    const auto q = manager.arrive(id);
+    on_a += manager.sends[q].front() == "a";
+    manager.end(q, Outcome::served);
+  }
+  EXPECT_EQ(on_a, 0);
+  manager.pass(10s);
+  for (; id < 40; ++id) {
+    const auto q = manager.arrive(id);
+    on_a += manager.sends[q].front() == "a";
+    manager.end(q, Outcome::served);
+  }
+  EXPECT_GT(on_a, 2);
+}
+
+TEST(OutlierDetector, KeepsAServingEngineWhoseAnswersAreLost) {
+  ManagerHarness manager(make_settings());
+  for (std::uint64_t id = 1; id < 60; id += 2) {
+    const auto lost = manager.arrive(id), other = manager.arrive(id + 1);
+    manager.pass(50ms);
+    manager.feed(
+        AttemptProgress{lost, AttemptNumber{0}, {manager.sends[lost].front()}, ProgressKind::progress, 0.5});
+    manager.end(other, Outcome::served);
+    manager.end(lost, Outcome::timed_out);
+    if (!manager.finals[lost] && manager.tries(lost) > 1) manager.end(lost, Outcome::served);
+  }
+  std::set<std::string> used;
+  for (std::uint64_t id = 100; id < 102; ++id) used.insert(manager.sends[manager.arrive(id)].front());
+  EXPECT_EQ(used.size(), 2u);
+}
+
+TEST(OutlierDetector, UsesEjectedEnginesInPanicMode) {
+  ManagerHarness manager(make_settings());
+  for (std::uint64_t id = 1; id < 20; ++id) {
+    const auto q = manager.arrive(id);
+    while (!manager.finals[q] && manager.tries(q) > 0) {
+      const auto before = manager.tries(q);
+      manager.end(q, Outcome::unreachable, 1ms);
+      if (manager.tries(q) == before) break;
+    }
+  }
+  EXPECT_EQ(manager.tries(manager.arrive(100)), 1u);  // still sent somewhere
+}
+
+TEST(OutlierDetector, CancelsTheQueriesOfASilentEngine) {
+  auto s = make_settings();
+  s.may_cancel = true;
+  s.progress_interval = 500ms;
+  ManagerHarness manager(s);
+  const auto p = manager.arrive(1, 15s, 4s), q = manager.arrive(2, 15s, 4s);
+  for (int i = 0; i < 8; ++i) {
+    manager.pass(500ms);
+    manager.feed(AttemptProgress{
+        q, AttemptNumber{0}, {manager.sends[q].front()}, ProgressKind::progress, 0.12 * (i + 1)});
+  }
+  EXPECT_NE(std::find(manager.cancels.begin(), manager.cancels.end(), p), manager.cancels.end());
+  manager.end(p, Outcome::cancelled);
+  ASSERT_EQ(manager.tries(p), 2u);
+  EXPECT_EQ(manager.sends[p].back(), manager.sends[q].front());
+}
+
+TEST(OutlierDetector, IgnoresAnswersToSendsFromBeforeTheEjection) {
+  auto s = make_settings();
+  s.kinds = {{64, 0}};
+  ManagerHarness manager(s, {engine("a"), engine("b"), engine("c")});
+  std::vector<QueryId> on_a;  // an engine that fails most, and answers one old query
+  std::uint64_t id = 1;
+  for (; on_a.size() < 6 && id < 60; ++id) {
+    const auto q = manager.arrive(id);
+    if (manager.tries(q) && manager.sends[q].front() == "a") on_a.push_back(q);
+  }
+  ASSERT_EQ(on_a.size(), 6u);
+  for (int i = 0; i < 5; ++i) manager.end(on_a[i], Outcome::error, 5ms);
+  manager.end(on_a[5], Outcome::served, 50ms);
+  int back = 0;
+  for (const auto end = id + 10; id < end; ++id) {
+    const auto q = manager.arrive(id);
+    ASSERT_EQ(manager.tries(q), 1u);
+    back += manager.sends[q].front() == "a";
+  }
+  EXPECT_EQ(back, 0);
+}
+
+TEST(OutlierDetector, BacksOffFromAnEngineThatShedsQueries) {
+  auto s = make_settings();
+  s.max_attempts = 2;
+  ManagerHarness manager(s);
+  int full = 0;
+  for (std::uint64_t id = 1; id <= 50; ++id) {  // "a" turns away at once and so looks idle
+    const auto q = manager.arrive(id);
+    while (!manager.finals[q]) {
+      const bool on_a = manager.sends[q].back() == "a";
+      full += on_a;
+      manager.end(q, on_a ? Outcome::shed : Outcome::served, 1ms);
+    }
+    manager.pass(10ms);
+  }
+  EXPECT_GE(full, 1);
+  EXPECT_LE(full, 5);
+}
+
+TEST(OutlierDetector, ForgetsAnEngineThatIsGoneForLong) {
+  const auto tries_after = [](Duration away) {
+    ManagerHarness manager(make_settings(), {engine("a")});
+    std::uint64_t id = 0;
+    for (int i = 0; i < 6; ++i) {  // full each time: the wait for it grows
+      const auto q = manager.arrive(++id);
+      manager.end(q, Outcome::shed);
+      manager.feed(ClientDisconnected{q});
+      manager.pass(7s);
+    }
+    manager.list({engine("a", EngineState::gone)});
+    manager.pass(away);
+    manager.list({engine("a")});
+    const auto q = manager.arrive(++id);
+    manager.end(q, Outcome::shed);
+    manager.pass(300ms);
+    return manager.tries(q);
+  };
+  EXPECT_EQ(tries_after(30s), 1u);
+  EXPECT_EQ(tries_after(62s), 2u);
+}
+
+TEST(OutlierDetector, ProbesASeldomSeenEngineBeforeItCountsAsSilent) {
+  auto s = make_settings({make_class(20s, 60s)});
+  s.kinds = {{64, 0}};
+  s.may_cancel = true;
+  s.may_probe = true;
+  const auto cancelled = [&](bool answers) {
+    ManagerHarness manager(s, {engine("a")});
+    manager.arrive(1, 60s, 1s);
+    for (int i = 0; i < 70; ++i) {  // past four estimates and the shortest silence
+      manager.pass(100ms);
+      for (const auto& name : manager.probes) {
+        if (answers) manager.feed(ProbeEnded{{name}, Outcome::served, 1ms, {}});
+      }
+      manager.probes.clear();
+    }
+    return manager.cancels.size();
+  };
+  EXPECT_EQ(cancelled(true), 0u);
+  EXPECT_EQ(cancelled(false), 1u);
+}
+
+}  // namespace
+}  // namespace yokestream::policy::testing
--- /dev/null
+++ b/tests/unit/policy/peer_load_test.cpp
@@ -0,0 +1,111 @@
+// What is known and presumed of the load of other managers.
+#include "manager_harness.h"
+
+namespace yokestream::policy::testing {
+namespace {
+
+// A front of many whose engines tell in each answer, or when `told` of them, how many queries they hold.
+Settings seldom_met() {
+  auto s = make_settings({make_class(2s, 8s)});
+  s.manager_count = 100;
+  s.kinds = {{8, 0}};
+  s.load_report_source = LoadReportSource::answers;
+  s.load_report_fields = {LoadReportField::inflight};
+  return s;
+}
+
+void report_load(ManagerHarness& manager, const std::string& engine, double inflight) {
+  manager.feed(ProbeEnded{{engine}, Outcome::served, 1ms, {inflight}});
+}
+
+// Seen on the days at size: most answers came from the crowded engines, and the idle ones were held for as
+// full.
+TEST(PeerLoad, CountsAnEngineOnceInTheMeanHoweverOftenItAnswers) {
+  std::vector<EngineEntry> all;
+  for (const char* name : {"a", "b", "c", "d", "e", "f", "g", "h"}) all.push_back(engine(name));
+  ManagerHarness manager(seldom_met(), all);
+  for (const char* name : {"c", "d", "e", "f", "g", "h"}) {
+    report_load(manager, name, 4);
+    for (int i = 0; i < 20; ++i) report_load(manager, i % 2 ? "a" : "b", 40), manager.pass(10ms);
+  }
+  manager.pass(5s);  // nothing is fresh any more
+  const auto q = manager.arrive(1, 8s);
+  manager.pass(1s);
+  EXPECT_EQ(manager.tries(q), 1u);
+}
+
+TEST(PeerLoad, ForgetsOldReportsOfACrowdedEngine) {
+  ManagerHarness manager(seldom_met(), {engine("a"), engine("b")});
+  for (int i = 0; i < 30; ++i) report_load(manager, i % 2 ? "a" : "b", 40);
+  const auto at_once = manager.arrive(1, 8s);
+  manager.pass(1s);
+  EXPECT_EQ(manager.tries(at_once), 0u);  // full, as it was told
+  manager.pass(40s);
+  const auto later = manager.arrive(2, 8s);
+  manager.pass(1s);
+  EXPECT_EQ(manager.tries(later), 1u);
+}
+
+TEST(PeerLoad, DoesNotPresumeAWarmingEngineCrowded) {
+  auto s = seldom_met();
+  s.manager_count = 10;
+  s.slow_start_window = 12s;
+  s.slow_start_initial_ratio = 0.4;
+  s.cold_overload_multiple = 2.5;
+  s.cold_overload_window = 3s;
+  ManagerHarness manager(s, {engine("a")});
+  for (int i = 0; i < 30; ++i) report_load(manager, "a", 40);
+  auto cold = engine("b");
+  cold.start_time = manager.now;
+  manager.list({cold});
+  manager.pass(4s);
+  report_load(manager, "a", 40);
+  const auto q = manager.arrive(1, 8s);
+  manager.pass(1s);
+  EXPECT_EQ(manager.tries(q), 1u);
+}
+
+TEST(PeerLoad, CountsAnnouncedQueriesAndIgnoresDamagedMessages) {
+  auto s = make_settings({make_class(4s, 8s)});
+  s.kinds = {{4, 1000}};
+  s.manager_count = 2;
+  s.may_message = true;
+  ManagerHarness peer(s), manager(s);
+  const auto arrive = [](ManagerHarness& at, std::uint64_t id, double memory,
+                         std::vector<std::string>* told = nullptr) {
+    QueryArrived q;
+    q.query = QueryId{id};
+    q.work = 500ms;
+    q.time_left = 8s;
+    q.memory_mb = memory;
+    for (const Action& a : at.feed(q)) {
+      if (const auto* t = std::get_if<BroadcastToPeers>(&a); t && told) told->push_back(t->payload);
+    }
+    return q.query;
+  };
+  std::vector<std::string> told;
+  const auto on_one = arrive(peer, 1, 500, &told);
+  arrive(peer, 2, 500, &told);
+  ASSERT_EQ(told.size(), 2u);
+  for (const auto& t : told) {
+    EXPECT_LE(t.size(), 7u);  // every byte is paid for by every receiver
+    manager.feed(PeerMessage{ManagerId{1}, t});
+    for (std::size_t cut = 0; cut < t.size(); ++cut)
+      manager.feed(PeerMessage{ManagerId{1}, t.substr(0, cut)});
+    manager.feed(PeerMessage{ManagerId{1}, std::string(t.size(), '\xff')});
+  }
+  const auto big = arrive(manager, 99, 600);  // fits beside neither of the peer's two
+  EXPECT_EQ(manager.tries(big), 0u);
+  EXPECT_EQ(manager.finals[big], 0);
+  AttemptEnded end{on_one, AttemptNumber{0}, {peer.sends[on_one].front()}, Outcome::served, 100ms, true, {}};
+  for (const Action& a : peer.feed(end)) {
+    if (const auto* t = std::get_if<BroadcastToPeers>(&a))
+      manager.feed(PeerMessage{ManagerId{1}, t->payload});
+  }
+  manager.pass(200ms);
+  ASSERT_EQ(manager.tries(big), 1u);
+  EXPECT_EQ(manager.sends[big].front(), peer.sends[on_one].front());
+}
+
+}  // namespace
+}  // namespace yokestream::policy::testing
--- a/tests/slow_start_test.cpp
+++ b/tests/unit/policy/slow_start_budget_test.cpp
@@ -9,7 +9,7 @@
 #include <random>
 #include <vector>
 
-#include "bench.h"
+#include "manager_harness.h"
 
 namespace yokestream::policy::testing {
 namespace {
@@ -52,7 +52,7 @@
     s.manager_count = static_cast<std::uint32_t>(play.managers);
     s.reports_cost = true;
     for (std::size_t i = 0; i < play.managers * play.processes; ++i) {
-      fronts_.push_back(std::make_unique<Front>(s, std::vector<EngineEntry>{}, seed * 1000 + i));
+      fronts_.push_back(std::make_unique<ManagerHarness>(s, std::vector<EngineEntry>{}, seed * 1000 + i));
       if (play.processes > 1)
         fronts_.back()->controller().set_manager_count(static_cast<double>(play.managers * play.processes));
     }
@@ -91,7 +91,8 @@
   void arrive() {
     const double mean = 2 * terms_.cores / terms_.mean_work_s * std::chrono::duration<double>(kStep).count();
     for (int n = std::poisson_distribution<int>(mean)(draw_); n > 0; --n) {
-      Front& front = *fronts_[static_cast<std::size_t>(uniform() * static_cast<double>(fronts_.size()))];
+      ManagerHarness& front =
+          *fronts_[static_cast<std::size_t>(uniform() * static_cast<double>(fronts_.size()))];
       const double own = work();
       works_.push_back(own);
       front.arrive(works_.size(), 60s, Duration(static_cast<Duration::rep>(own * 1e9)));
@@ -99,7 +100,7 @@
   }
   // Answered at once, so that room at the engine holds nobody back: only the budget does.
   void take_sends(std::size_t i) {
-    Front& front = *fronts_[i];
+    ManagerHarness& front = *fronts_[i];
     while (!front.order.empty()) {
       const QueryId query = front.order.back();
       front.order.pop_back();
@@ -135,7 +136,7 @@
   const Terms& terms_;
   const Case play_;
   std::mt19937 draw_;
-  std::vector<std::unique_ptr<Front>> fronts_;
+  std::vector<std::unique_ptr<ManagerHarness>> fronts_;
   std::vector<double> works_;
   Time start_{};
   Duration now_{};
--- /dev/null
+++ b/tests/unit/policy/slow_start_rules_test.cpp
@@ -0,0 +1,126 @@
+// Rules of sends to engines in slow start.
+#include <memory>
+
+#include "manager_harness.h"
+
+namespace yokestream::policy::testing {
+namespace {
+
+Settings cold_settings() {
+  auto s = make_settings({make_class(2s, 10s)});
+  s.kinds = {{4, 0}};
+  s.slow_start_initial_ratio = 0.25;
+  s.slow_start_window = 10s;
+  s.cold_overload_multiple = 2;
+  s.cold_overload_window = 1s;
+  return s;
+}
+
+TEST(SlowStartRule, KeepsWorkToAColdEngineUnderItsBudget) {
+  const auto s = cold_settings();
+  auto a = engine("a");
+  ManagerHarness manager(s, {});
+  a.start_time = manager.now;
+  manager.list({a});
+  for (std::uint64_t id = 1; id <= 200; ++id) {  // one second of short queries, all answered at once
+    manager.arrive(id, 10s, 100ms);
+    while (!manager.order.empty()) {
+      const auto q = manager.order.back();
+      manager.order.pop_back();
+      if (!manager.finals[q]) manager.end(q, Outcome::served, 100ms);
+    }
+    manager.pass(5ms);
+  }
+  const double sent = 0.1 * static_cast<double>(manager.sends.size());
+  EXPECT_GT(sent, 0.2);
+  EXPECT_LE(sent, 2 * 0.25 * 4 * 0.85 * 1.1);
+}
+
+TEST(SlowStartRule, LetsManyManagersFillAColdEngineWithoutOverload) {
+  auto s = cold_settings();
+  s.manager_count = 200;
+  s.kinds = {{16, 0}};
+  auto a = engine("a");
+  std::vector<std::unique_ptr<ManagerHarness>> fronts;
+  for (std::uint64_t i = 0; i < s.manager_count; ++i) {
+    fronts.push_back(std::make_unique<ManagerHarness>(s, std::vector<EngineEntry>{}, i + 1));
+    a.start_time = fronts[i]->now;
+    fronts[i]->list({a});
+  }
+  std::vector<std::size_t> by_tick;  // sends of all fronts together
+  for (std::uint64_t tick = 0; tick < 100; ++tick) {
+    std::size_t sends = 0;
+    for (auto& f : fronts) {
+      const auto before = f->order.size();
+      if (tick % 20 == 0) f->arrive(tick + 1, 10s, 100ms);
+      f->pass(20ms);
+      for (std::size_t k = before; k < f->order.size(); ++k) f->end(f->order[k], Outcome::served), ++sends;
+    }
+    by_tick.push_back(sends);
+  }
+  std::size_t all = 0, window = 0, most = 0;
+  for (std::size_t i = 0; i < by_tick.size(); ++i) {
+    all += by_tick[i];
+    window += by_tick[i];
+    if (i >= 50) window -= by_tick[i - 50];
+    most = std::max(most, window);
+  }
+  const double limit = 2 * 0.25 * 16 * 0.85 / 0.1;  // queries of 0.1 s that topple it within a second
+  EXPECT_LT(static_cast<double>(most), limit);
+  EXPECT_GT(static_cast<double>(all), limit / 2);  // in two seconds: about half of what it can do
+}
+
+// Seen on the days at size: time taken on crowded engines was counted as work, and new ones stayed empty.
+TEST(SlowStartRule, BudgetsByReportedWorkAndNotByTime) {
+  auto s = cold_settings();
+  s.classes[0].latency_objective = s.classes[0].deadline = 60s;
+  s.manager_count = 5;
+  s.kinds = {{16, 0}};
+  s.reports_cost = true;
+  const auto sent_after = [&](Duration took) {
+    ManagerHarness manager(s, {engine("a")});
+    std::uint64_t id = 1;
+    for (; id <= 60; ++id) {
+      const auto q = manager.arrive(id, 60s, 100ms);
+      manager.pass(took);
+      if (manager.tries(q) > 0)
+        manager.feed(AttemptEnded{q, AttemptNumber{0}, {"a"}, Outcome::served, took, true, {}, 100ms, 64});
+    }
+    auto cold = engine("b");
+    cold.start_time = manager.now;
+    manager.list({engine("a", EngineState::draining), cold});
+    manager.order.clear();
+    std::size_t sent = 0;
+    for (int i = 0; i < 200; ++i) {
+      manager.arrive(id++, 60s, 100ms);
+      manager.pass(50ms);
+      while (!manager.order.empty()) {
+        const auto q = manager.order.back();
+        manager.order.pop_back();
+        manager.feed(AttemptEnded{q, AttemptNumber{0}, {"b"}, Outcome::served, took, true, {}, 100ms, 64});
+        ++sent;
+      }
+    }
+    return sent;
+  };
+  const auto usual = sent_after(100ms);
+  EXPECT_GE(usual, 4u);
+  EXPECT_GE(sent_after(1s) + 1, usual);
+}
+
+TEST(SlowStartRule, TreatsARestartUnderTheSameIdAsCold) {
+  const auto s = cold_settings();
+  ManagerHarness manager(s, {engine("a")});
+  auto again = engine("a");
+  again.start_time = manager.now;
+  manager.list({again});
+  std::size_t sent = 0;
+  for (std::uint64_t id = 1; id <= 100; ++id) {
+    const auto q = manager.arrive(id, 10s, 100ms);
+    if (manager.tries(q)) ++sent, manager.end(q, Outcome::served, 100ms);
+  }
+  EXPECT_LE(sent, 18u);
+}
+
+}  // namespace
+}  // namespace yokestream::policy::testing
