--- a/src/policy/controller_impl.h
+++ b/src/policy/controller_impl.h
@@ -100,9 +100,10 @@
   }
   ConcurrencyBound::Pool pool() const { return {total_cores_, load_share_.value()}; }
   Query* find(QueryId id);
+  // Built in its place: a move of a temporary variant makes g++ warn of alternatives that it does not hold.
   template <class A>
   void emit(A action) {
-    actions_->push_back(std::move(action));
+    actions_->emplace_back(std::in_place_type<A>, std::move(action));
   }
 
   const Settings settings_;
