--- a/src/coordination/view.h
+++ b/src/coordination/store_view.h
@@ -1,7 +1,6 @@
-// The keys below one prefix as this process knows them: read whole at one revision, then kept up by a watch
-// from the next one. A watch that is cut or compacted is answered by reading all anew; events that come twice
-// count once. Tells when the store has been set back to an older state. Pure; one thread at a time.
-// Memory: the keys, kMostProcesses at most.
+// A cached copy of the keys below one prefix: loaded completely at one revision, then updated by a watch
+// from the next one. After a watch that was disconnected or compacted everything is loaded again. Repeated
+// events are ignored. Pure; not thread-safe. Memory: kMaxMembers keys at most.
 #pragma once
 
 #include <map>
@@ -18,19 +17,19 @@
 
   bool is_loaded() const { return revision_ > 0; }
   store::Range load_request() const { return {prefix_, store::prefix_range_end(prefix_)}; }
-  void on_loaded(const store::Completed& done);  // the answer to read()
+  void on_loaded(const store::Completed& completed);  // the reply to load_request()
   store::WatchRequest watch_request() const {
     return {prefix_, store::prefix_range_end(prefix_), revision_ + 1};
   }
-  void on_watch_response(const store::WatchResponse& watched);
-  void invalidate() { revision_ = 0; }  // its watch is over: all is read anew
+  void on_watch_response(const store::WatchResponse& response);
+  void invalidate() { revision_ = 0; }  // to be loaded again
 
   const store::KeyValue* find(const std::string& key) const;
 
  private:
   const std::string prefix_;
   std::map<std::string, store::KeyValue> keys_;
-  store::Revision revision_ = 0;
+  store::Revision revision_ = 0;  // up to which `keys_` is complete; 0: not loaded
 };
 
 }  // namespace yokestream::coordination
--- a/src/migration/mover.h
+++ b/src/migration/mover.h
@@ -15,7 +15,7 @@
 #include <optional>
 #include <string>
 
-#include "coordination/duty.h"
+#include "coordination/leader_task.h"
 #include "migration/record.h"
 #include "migration/tally.h"
 
--- a/src/migration/status.h
+++ b/src/migration/status.h
@@ -4,7 +4,7 @@
 #include <map>
 #include <string>
 
-#include "coordination/names.h"
+#include "coordination/store_keys.h"
 #include "migration/record.h"
 
 namespace yokestream::migration {
--- a/src/net/events.h
+++ b/src/net/events.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <variant>
 
-#include "coordination/fleet.h"
+#include "coordination/fleet_member.h"
 #include "dispatch/ports.h"
 #include "door/settings.h"
 #include "net/queue.h"
--- a/src/net/fleet_keeper.h
+++ b/src/net/fleet_keeper.h
@@ -13,7 +13,7 @@
 #include <string>
 
 #include "config/config.h"
-#include "coordination/fleet.h"
+#include "coordination/fleet_member.h"
 #include "migration/mover.h"
 #include "net/events.h"
 #include "net/thread.h"
--- a/src/standin/duty_process.h
+++ b/src/standin/duty_process.h
@@ -5,7 +5,7 @@
 
 #include "migration/mover.h"
 #include "standin/duty_world.h"
-#include "store/addresses.h"
+#include "store/endpoint_rotation.h"
 
 namespace yokestream::standin {
 
--- a/src/standin/duty_world.cpp
+++ b/src/standin/duty_world.cpp
@@ -4,7 +4,7 @@
 
 #include "standin/duty_process.h"
 #include "standin/history.h"
-#include "store/wire.h"
+#include "store/gateway_codec.h"
 
 namespace yokestream::standin {
 namespace {
--- a/src/standin/duty_world.h
+++ b/src/standin/duty_world.h
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/fleet.h"
+#include "coordination/fleet_member.h"
 #include "standin/edge.h"
 #include "standin/history.h"
 #include "standin/store_model.h"
--- a/src/standin/fleet.cpp
+++ b/src/standin/fleet.cpp
@@ -1,6 +1,6 @@
 #include "standin/fleet.h"
 
-#include "coordination/shares.h"
+#include "coordination/load_shares.h"
 #include "standin/fleet_seat.h"
 
 namespace yokestream::standin {
--- a/src/standin/history.h
+++ b/src/standin/history.h
@@ -6,8 +6,8 @@
 #include <set>
 #include <string>
 
-#include "coordination/fleet.h"
-#include "coordination/shares.h"
+#include "coordination/fleet_member.h"
+#include "coordination/load_shares.h"
 #include "standin/store_model.h"
 
 namespace yokestream::standin {
--- a/src/standin/store_json.cpp
+++ b/src/standin/store_json.cpp
@@ -3,7 +3,7 @@
 #include <stdexcept>
 
 #include "base/json.h"
-#include "store/wire.h"
+#include "store/gateway_codec.h"
 
 namespace yokestream::standin {
 namespace {
--- a/src/standin/store_server.cpp
+++ b/src/standin/store_server.cpp
@@ -4,7 +4,7 @@
 
 #include "net/clock.h"
 #include "standin/store_json.h"
-#include "store/wire.h"
+#include "store/gateway_codec.h"
 
 namespace yokestream::standin {
 namespace {
--- a/src/standin/trace.cpp
+++ b/src/standin/trace.cpp
@@ -3,7 +3,7 @@
 #include <cstdio>
 #include <type_traits>
 
-#include "store/wire.h"
+#include "store/gateway_codec.h"
 
 namespace yokestream::standin {
 namespace {
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -6,7 +6,7 @@
 #include <boost/beast/http.hpp>
 #include <sstream>
 
-#include "store/wire.h"
+#include "store/gateway_codec.h"
 
 namespace yokestream::store {
 namespace {
@@ -15,32 +15,32 @@
 
 constexpr std::size_t kReadBytes = 8 * 1024;
 
-// How much of `bytes` the socket took by `deadline`; nullopt: it broke, and some may have left.
-std::optional<std::size_t> write_by(net::Socket& socket, std::string_view bytes, net::Time deadline) {
+// Number of bytes written by `deadline`; nullopt: the socket failed, and some may have been sent.
+std::optional<std::size_t> write_until(net::Socket& socket, std::string_view bytes, net::Time deadline) {
   std::size_t written = 0;
   while (written < bytes.size()) {
-    const auto now_taken = socket.write_now(bytes.substr(written));
-    if (!now_taken) return std::nullopt;
-    written += *now_taken;
+    const auto accepted = socket.write_now(bytes.substr(written));
+    if (!accepted) return std::nullopt;
+    written += *accepted;
     if (written == bytes.size()) break;
-    pollfd room{socket.descriptor(), POLLOUT, 0};
-    if (net::now() >= deadline || ::poll(&room, 1, net::milliseconds_until(deadline)) <= 0) break;
+    pollfd writable{socket.descriptor(), POLLOUT, 0};
+    if (net::now() >= deadline || ::poll(&writable, 1, net::milliseconds_until(deadline)) <= 0) break;
   }
   return written;
 }
 
-struct Answer {
+struct HttpResponse {
   unsigned status = 0;
   std::string body;
-  bool keep = false;  // the connection may be used again
+  bool keep_alive = false;  // the connection can be reused
 };
 
-// nullopt: none came whole by `deadline`, or what came is no HTTP.
-std::optional<Answer> read_answer(net::Socket& socket, net::Time deadline) {
+// nullopt: no complete response by `deadline`, or malformed HTTP.
+std::optional<HttpResponse> read_response(net::Socket& socket, net::Time deadline) {
   http::response_parser<http::string_body> parser;
   parser.eager(true);
   parser.body_limit(kMaxReplyBytes);
-  std::string held;  // come, and not taken by the parser yet
+  std::string unparsed;  // received, not consumed by the parser yet
   std::array<char, kReadBytes> bytes;
   while (!parser.is_done()) {
     const auto size = socket.read_until(bytes.data(), bytes.size(), deadline);
@@ -51,19 +51,19 @@
       if (error || !parser.is_done()) return std::nullopt;
       break;
     }
-    held.append(bytes.data(), size);
-    const auto taken = parser.put(boost::asio::buffer(held), error);
-    held.erase(0, taken);
+    unparsed.append(bytes.data(), size);
+    const auto consumed = parser.put(boost::asio::buffer(unparsed), error);
+    unparsed.erase(0, consumed);
     if (error && error != http::error::need_more) return std::nullopt;
-    if (held.size() > kMaxReplyBytes) return std::nullopt;
+    if (unparsed.size() > kMaxReplyBytes) return std::nullopt;
   }
-  return Answer{parser.get().result_int(), std::move(parser.get().body()),
-                parser.get().keep_alive() && held.empty()};
+  return HttpResponse{parser.get().result_int(), std::move(parser.get().body()),
+                      parser.get().keep_alive() && unparsed.empty()};
 }
 
 }  // namespace
 
-std::string http_of(const GatewayCall& call, const config::Endpoint& to) {
+std::string serialize_http_request(const GatewayCall& call, const config::Endpoint& to) {
   http::request<http::string_body> request(http::verb::post, call.path, 11);
   request.set(http::field::host, to_string(to));
   request.set(http::field::content_type, "application/json");
@@ -90,39 +90,40 @@
   if (socket_) socket_->break_off();
 }
 
-Client::Client(std::vector<config::Endpoint> addresses, std::uint64_t seed, net::Time::duration spread)
-    : addresses_(std::move(addresses), seed, spread) {}
+Client::Client(std::vector<config::Endpoint> endpoints, std::uint64_t seed, net::Time::duration max_backoff)
+    : endpoints_(std::move(endpoints), seed, max_backoff) {}
 
-// The one that was kept open, if the store has not closed it meanwhile; else a new one.
+// The open connection unless the store has closed it meanwhile; else a new one.
 net::Socket* Client::connected(net::Time deadline, net::ConnectFailure* failure) {
-  char stray = 0;
-  if (net::Socket* kept = connection_.get(); kept && !kept->read_now(&stray, 1)) return kept;
+  char unexpected = 0;  // any byte, or the end, before a request: the connection is of no use
+  net::Socket* reusable = connection_.get();
+  if (reusable && !reusable->read_now(&unexpected, 1)) return reusable;
   net::Socket* fresh = connection_.renew();
-  failure->why = "stopped";
-  return fresh && fresh->connect(addresses_.current(), deadline, failure) ? fresh : nullptr;
+  failure->why = "client stopped";
+  return fresh && fresh->connect(endpoints_.current(), deadline, failure) ? fresh : nullptr;
 }
 
 Reply Client::call(const Request& request, net::Time deadline) {
-  if (net::now() < addresses_.next_attempt_at()) return Failed{"the store is away", false};
+  if (net::now() < endpoints_.next_attempt_at()) return Failed{"store unavailable, backing off", false};
   net::ConnectFailure failure;
   net::Socket* socket = connected(deadline, &failure);
   if (!socket) {
     connection_.drop();
-    addresses_.record_failure(net::now());
+    endpoints_.record_failure(net::now());
     return Failed{failure.why, false};
   }
   const GatewayCall call = encode(request);
-  const std::string bytes = http_of(call, addresses_.current());
-  const auto written = write_by(*socket, bytes, deadline);
-  const auto answer = written == bytes.size() ? read_answer(*socket, deadline) : std::nullopt;
-  if (!answer || !answer->keep) connection_.drop();
-  if (answer) {
-    addresses_.record_success(net::now());
-    return decode(request, answer->status, answer->body);
+  const std::string bytes = serialize_http_request(call, endpoints_.current());
+  const auto written = write_until(*socket, bytes, deadline);
+  const auto response = written == bytes.size() ? read_response(*socket, deadline) : std::nullopt;
+  if (!response || !response->keep_alive) connection_.drop();
+  if (response) {
+    endpoints_.record_success(net::now());
+    return decode(request, response->status, response->body);
   }
-  addresses_.record_failure(net::now());
-  if (written == 0u || !call.writes) return Failed{"no answer", false};
-  return OutcomeUnknown{"no answer"};
+  endpoints_.record_failure(net::now());
+  if (written == 0u || !call.writes) return Failed{"no reply", false};
+  return OutcomeUnknown{"no reply"};
 }
 
 }  // namespace yokestream::store
--- a/src/store/client.h
+++ b/src/store/client.h
@@ -1,9 +1,10 @@
-// The store's client: one request at a time on one connection, with an absolute deadline. And a watch, on a
-// connection of its own (watcher.h).
+// Client of the store's JSON gateway: one request at a time on one connection, with an absolute deadline.
+// Watches have a connection of their own (watcher.h).
 //
-// HTTP/1.1 by Boost.Beast's parser over this program's own blocking sockets, for their absolute deadlines.
-// One thread asks; stop() may come from any. Memory: one reply of at most kMostReply bytes. Descriptors: one.
-// Never throws on what the store says; what makes no sense ends the connection and counts as no answer.
+// HTTP/1.1 with Boost.Beast's parser over this program's own blocking sockets, for their absolute deadlines.
+// One thread calls; stop() may come from any thread. Memory: one reply of at most kMaxReplyBytes.
+// Descriptors: one. Never throws on what the store sends: malformed HTTP closes the connection and counts as
+// no reply.
 #pragma once
 
 #include <memory>
@@ -11,47 +12,47 @@
 #include <string>
 
 #include "net/socket.h"
-#include "store/addresses.h"
+#include "store/endpoint_rotation.h"
 #include "store/values.h"
 
 namespace yokestream::store {
 
 inline constexpr std::size_t kMaxReplyBytes = 4 * 1024 * 1024;
 
-// The bytes of a call, as they leave.
+// The bytes of a call as they are sent.
 struct GatewayCall;
-std::string http_of(const GatewayCall& call, const config::Endpoint& to);
+std::string serialize_http_request(const GatewayCall& call, const config::Endpoint& to);
 
-// A socket that any thread may break off, and no new one taken after that.
+// Owns a socket that any thread may shut down for good. Only the calling thread replaces or drops it.
 class CancellableSocket {
  public:
-  net::Socket* renew();  // nullptr: stopped
+  net::Socket* renew();  // a new socket in place of the old one; nullptr: stopped
   net::Socket* get() { return socket_.get(); }
   int descriptor() const { return socket_ ? socket_->descriptor() : -1; }
-  void drop();  // the owner's thread
-  void stop();  // any thread
+  void drop();  // the calling thread
+  void stop();  // any thread: ends what waits on the socket, and renew() from now on
 
  private:
-  std::mutex mutex_;
+  std::mutex mutex_;  // guards stopped_, and socket_ against being replaced during stop()
   bool stopped_ = false;
   std::unique_ptr<net::Socket> socket_;
 };
 
 class Client {
  public:
-  Client(std::vector<config::Endpoint> addresses, std::uint64_t seed, net::Time::duration spread);
+  Client(std::vector<config::Endpoint> endpoints, std::uint64_t seed, net::Time::duration max_backoff);
 
-  // Asks, by `deadline`; before not_before() it fails at once.
+  // Returns by `deadline`. Before next_attempt_at() it is Failed at once.
   Reply call(const Request& request, net::Time deadline);
-  net::Time next_attempt_at() const { return addresses_.next_attempt_at(); }
-  const config::Endpoint& endpoint() const { return addresses_.current(); }
-  void record_watch_failure(net::Time now) { addresses_.record_failure(now); }  // a watch at this address
-  void stop() { connection_.stop(); }  // whatever is being asked ends at once, and all that follows
+  net::Time next_attempt_at() const { return endpoints_.next_attempt_at(); }
+  const config::Endpoint& endpoint() const { return endpoints_.current(); }
+  void record_watch_failure(net::Time now) { endpoints_.record_failure(now); }  // of a watch at endpoint()
+  void stop() { connection_.stop(); }  // fails the call in progress and all later ones
 
  private:
   net::Socket* connected(net::Time deadline, net::ConnectFailure* failure);
 
-  EndpointRotation addresses_;
+  EndpointRotation endpoints_;
   CancellableSocket connection_;
 };
 
--- a/src/store/wire_in.cpp
+++ b/src/store/gateway_decode.cpp
@@ -1,25 +1,37 @@
-// The gateway's JSON to replies.
+// Decodes the gateway's JSON into replies.
 #include <charconv>
 
 #include "base/json.h"
-#include "store/wire.h"
+#include "store/gateway_codec.h"
 
 namespace yokestream::store {
 namespace {
 
-// The gateway's error codes, those of gRPC, under which the store has certainly changed nothing. All others
-// (unavailable, a time-out, an unknown error) may come after the change was made.
-constexpr int kInvalid = 3, kNotFound = 5, kDenied = 7, kExhausted = 8, kPrecondition = 9, kOutOfRange = 11,
-              kUnimplemented = 12, kUnauthenticated = 16;
+// gRPC status codes, as the gateway reports them, under which the store has certainly changed nothing. All
+// others (unavailable, deadline exceeded, unknown) may follow a change that was made.
+constexpr int kInvalidArgument = 3;
+constexpr int kNotFound = 5;
+constexpr int kPermissionDenied = 7;
+constexpr int kResourceExhausted = 8;
+constexpr int kFailedPrecondition = 9;
+constexpr int kOutOfRange = 11;
+constexpr int kUnimplemented = 12;
+constexpr int kUnauthenticated = 16;
+
+bool leaves_store_unchanged(int code) {
+  return code == kInvalidArgument || code == kNotFound || code == kPermissionDenied ||
+         code == kResourceExhausted || code == kFailedPrecondition || code == kOutOfRange ||
+         code == kUnimplemented || code == kUnauthenticated;
+}
 
 std::optional<Json::Value> parse(std::string_view text) {
-  constexpr int kDeepest = 32;
-  auto value = base::read_json(text, text.size(), kDeepest);  // its reader has bounded it
+  constexpr int kMaxDepth = 32;
+  auto value = base::read_json(text, text.size(), kMaxDepth);  // its reader has bounded it
   return value && value->isObject() ? value : std::nullopt;
 }
 
-// A part that is not what it should be makes the whole message nonsense.
-struct Nonsense {};
+// A field of the wrong type or value makes the whole message malformed. Caught in this file.
+struct MalformedReply {};
 
 const Json::Value& member(const Json::Value& object, const char* name) {
   return object.isObject() ? object[name] : Json::Value::nullSingleton();
@@ -27,26 +39,26 @@
 std::int64_t number(const Json::Value& v) {
   if (v.isNull()) return 0;
   if (v.isInt64()) return v.asInt64();
-  if (!v.isString()) throw Nonsense{};
+  if (!v.isString()) throw MalformedReply{};
   const std::string text = v.asString();
   std::int64_t n = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), n);
-  if (error != std::errc() || end != text.data() + text.size()) throw Nonsense{};
+  if (error != std::errc() || end != text.data() + text.size()) throw MalformedReply{};
   return n;
 }
-std::string bytes(const Json::Value& v, std::size_t most) {
+std::string bytes(const Json::Value& v, std::size_t max_bytes) {
   if (v.isNull()) return {};
-  if (!v.isString()) throw Nonsense{};
+  if (!v.isString()) throw MalformedReply{};
   auto decoded = from_base64(v.asString());
-  if (!decoded || decoded->size() > most) throw Nonsense{};
+  if (!decoded || decoded->size() > max_bytes) throw MalformedReply{};
   return std::move(*decoded);
 }
 bool flag(const Json::Value& v) {
-  if (!v.isNull() && !v.isBool()) throw Nonsense{};
+  if (!v.isNull() && !v.isBool()) throw MalformedReply{};
   return !v.isNull() && v.asBool();
 }
 const Json::Value& list(const Json::Value& v) {
-  if (!v.isNull() && !v.isArray()) throw Nonsense{};
+  if (!v.isNull() && !v.isArray()) throw MalformedReply{};
   return v;
 }
 KeyValue key_value(const Json::Value& v) {
@@ -57,63 +69,63 @@
   kv.mod_revision = number(member(v, "mod_revision"));
   kv.version = number(member(v, "version"));
   kv.lease = LeaseId(number(member(v, "lease")));
-  if (kv.key.empty()) throw Nonsense{};
+  if (kv.key.empty()) throw MalformedReply{};
   return kv;
 }
-RangeResult ranged(const Json::Value& v) {
+RangeResult read_range_result(const Json::Value& v) {
   RangeResult out;
   for (const auto& kv : list(member(v, "kvs"))) out.key_values.push_back(key_value(kv));
   return out;
 }
-Revision revision_of(const Json::Value& v) {
+Revision read_revision(const Json::Value& v) {
   const Revision revision = number(member(member(v, "header"), "revision"));
-  if (revision <= 0) throw Nonsense{};
+  if (revision <= 0) throw MalformedReply{};
   return revision;
 }
 
-// The answer to each kind of request; what must be there for it to be one.
-void take(const Txn& txn, const Json::Value& v, Completed& done) {
+// Reads the result of each kind of request; throws MalformedReply where a required field is missing.
+void read_result(const Txn& txn, const Json::Value& v, Completed& done) {
   done.succeeded = flag(member(v, "succeeded"));
-  const auto& asked = done.succeeded ? txn.on_success : txn.on_failure;
+  const auto& operations = done.succeeded ? txn.on_success : txn.on_failure;
   const Json::Value& responses = list(member(v, "responses"));
-  if (responses.size() != asked.size()) throw Nonsense{};
+  if (responses.size() != operations.size()) throw MalformedReply{};
   for (Json::ArrayIndex i = 0; i < responses.size(); ++i) {
-    if (std::holds_alternative<Range>(asked[i]))
-      done.ranges.push_back(ranged(member(responses[i], "response_range")));
+    if (std::holds_alternative<Range>(operations[i]))
+      done.ranges.push_back(read_range_result(member(responses[i], "response_range")));
   }
 }
-void take(const Range&, const Json::Value& v, Completed& done) { done.ranges.push_back(ranged(v)); }
-void take(const GrantLease&, const Json::Value& v, Completed& done) {
+void read_result(const Range&, const Json::Value& v, Completed& done) {
+  done.ranges.push_back(read_range_result(v));
+}
+void read_result(const GrantLease&, const Json::Value& v, Completed& done) {
   done.lease = LeaseId(number(member(v, "ID")));
   done.ttl_s = number(member(v, "TTL"));
-  if (done.lease == LeaseId::none || done.ttl_s <= 0) throw Nonsense{};
+  if (done.lease == LeaseId::none || done.ttl_s <= 0) throw MalformedReply{};
 }
-void take(const KeepLeaseAlive& asked, const Json::Value& v, Completed& done) {  // a stream of one message
+void read_result(const KeepLeaseAlive& request, const Json::Value& v, Completed& done) {
+  // a stream of one message
   const Json::Value& result = member(v, "result");
-  if (!result.isObject()) throw Nonsense{};
+  if (!result.isObject()) throw MalformedReply{};
   done.lease = LeaseId(number(member(result, "ID")));
   done.ttl_s = number(member(result, "TTL"));
-  done.revision = revision_of(result);
-  if (done.lease != asked.lease || done.ttl_s < 0) throw Nonsense{};
+  done.revision = read_revision(result);
+  if (done.lease != request.lease || done.ttl_s < 0) throw MalformedReply{};
 }
-void take(const RevokeLease&, const Json::Value&, Completed&) {}
+void read_result(const RevokeLease&, const Json::Value&, Completed&) {}
 
 Reply error_reply(const Request& request, unsigned status, std::string_view body) {
-  std::string why = "HTTP " + std::to_string(status);
+  std::string cause = "HTTP " + std::to_string(status);
   int code = 0;
   try {
     if (const auto v = parse(body)) {
       code = static_cast<int>(number(member(*v, "code")));
-      if (member(*v, "message").isString()) why += ": " + member(*v, "message").asString().substr(0, 200);
+      if (member(*v, "message").isString()) cause += ": " + member(*v, "message").asString().substr(0, 200);
     }
-  } catch (const Nonsense&) {
+  } catch (const MalformedReply&) {
     code = 0;
   }
-  const bool nothing = code == kInvalid || code == kNotFound || code == kDenied || code == kExhausted ||
-                       code == kPrecondition || code == kOutOfRange || code == kUnimplemented ||
-                       code == kUnauthenticated;
-  if (nothing || !may_change(request)) return Failed{why, code == kOutOfRange};
-  return OutcomeUnknown{why};
+  if (leaves_store_unchanged(code) || !may_change(request)) return Failed{cause, code == kOutOfRange};
+  return OutcomeUnknown{cause};
 }
 
 }  // namespace
@@ -122,16 +134,16 @@
   if (status != 200) return error_reply(request, status, body);
   try {
     const auto v = parse(body);
-    if (!v) throw Nonsense{};
+    if (!v) throw MalformedReply{};
     if (v->isMember("error")) return error_reply(request, status, (*v)["error"].toStyledString());
     Completed done;
-    if (!std::holds_alternative<KeepLeaseAlive>(request)) done.revision = revision_of(*v);
-    std::visit([&](const auto& r) { take(r, *v, done); }, request);
+    if (!std::holds_alternative<KeepLeaseAlive>(request)) done.revision = read_revision(*v);
+    std::visit([&](const auto& r) { read_result(r, *v, done); }, request);
     return done;
-  } catch (const Nonsense&) {
-    constexpr const char* kWhy = "an answer that makes no sense";
-    if (may_change(request)) return OutcomeUnknown{kWhy};
-    return Failed{kWhy};
+  } catch (const MalformedReply&) {
+    constexpr const char* kMalformed = "malformed reply";
+    if (may_change(request)) return OutcomeUnknown{kMalformed};
+    return Failed{kMalformed};
   }
 }
 
@@ -140,7 +152,7 @@
   if (!v || !member(*v, "result").isObject()) return std::nullopt;
   const Json::Value& result = member(*v, "result");
   WatchResponse out;
-  out.revision = revision_of(result);
+  out.revision = read_revision(result);
   out.created = flag(member(result, "created"));
   out.canceled = flag(member(result, "canceled"));
   out.compact_revision = number(member(result, "compact_revision"));
@@ -152,7 +164,7 @@
         {removed ? WatchEvent::Kind::removed : WatchEvent::Kind::put, key_value(member(event, "kv"))});
   }
   return out;
-} catch (const Nonsense&) {
+} catch (const MalformedReply&) {
   return std::nullopt;
 }
 
--- a/src/store/wire_out.cpp
+++ b/src/store/gateway_encode.cpp
@@ -1,32 +1,32 @@
-// Requests to the gateway's JSON.
+// Encodes requests as the gateway's JSON.
 #include <boost/beast/core/detail/base64.hpp>
 
 #include "base/json.h"
-#include "store/wire.h"
+#include "store/gateway_codec.h"
 
 namespace yokestream::store {
 namespace {
 
 namespace base64 = boost::beast::detail::base64;
 
-std::string text_of(std::int64_t number) { return std::to_string(number); }
+std::string decimal(std::int64_t number) { return std::to_string(number); }
 
-Json::Value range_of(const std::string& key, const std::string& end) {
+Json::Value key_range_json(const std::string& key, const std::string& end) {
   Json::Value out;
   out["key"] = to_base64(key);
   if (!end.empty()) out["range_end"] = to_base64(end);
   return out;
 }
 Json::Value to_json(const Put& put) {
-  Json::Value out = range_of(put.key, "");
+  Json::Value out = key_range_json(put.key, "");
   out["value"] = to_base64(put.value);
-  if (put.lease != LeaseId::none) out["lease"] = text_of(static_cast<std::int64_t>(put.lease));
+  if (put.lease != LeaseId::none) out["lease"] = decimal(static_cast<std::int64_t>(put.lease));
   return out;
 }
-Json::Value to_json(const Delete& del) { return range_of(del.key, del.end); }
+Json::Value to_json(const Delete& del) { return key_range_json(del.key, del.end); }
 Json::Value to_json(const Range& range) {
-  Json::Value out = range_of(range.key, range.end);
-  if (range.revision > 0) out["revision"] = text_of(range.revision);
+  Json::Value out = key_range_json(range.key, range.end);
+  if (range.revision > 0) out["revision"] = decimal(range.revision);
   return out;
 }
 Json::Value to_json(const Op& op) {
@@ -36,13 +36,13 @@
   return out;
 }
 Json::Value to_json(const Compare& c) {
-  Json::Value out = range_of(c.key, "");
+  Json::Value out = key_range_json(c.key, "");
   out["result"] = "EQUAL";
   out["target"] = c.target == Compare::Target::create_revision ? "CREATE"
                   : c.target == Compare::Target::mod_revision  ? "MOD"
                                                                : "VALUE";
-  if (c.target == Compare::Target::create_revision) out["create_revision"] = text_of(c.revision);
-  if (c.target == Compare::Target::mod_revision) out["mod_revision"] = text_of(c.revision);
+  if (c.target == Compare::Target::create_revision) out["create_revision"] = decimal(c.revision);
+  if (c.target == Compare::Target::mod_revision) out["mod_revision"] = decimal(c.revision);
   if (c.target == Compare::Target::value) out["value"] = to_base64(c.value);
   return out;
 }
@@ -55,13 +55,13 @@
 }
 Json::Value to_json(const GrantLease& grant) {
   Json::Value out;
-  out["TTL"] = text_of(grant.ttl_s);
+  out["TTL"] = decimal(grant.ttl_s);
   return out;
 }
-template <class Leased>  // KeepAlive, Revoke
+template <class Leased>  // KeepLeaseAlive, RevokeLease
 Json::Value to_json(const Leased& leased) {
   Json::Value out;
-  out["ID"] = text_of(static_cast<std::int64_t>(leased.lease));
+  out["ID"] = decimal(static_cast<std::int64_t>(leased.lease));
   return out;
 }
 
@@ -76,7 +76,7 @@
   std::string out(base64::decoded_size(text.size()) + 3, '\0');
   const auto [written, read] = base64::decode(out.data(), text.data(), text.size());
   out.resize(written);
-  if (to_base64(out) != text) return std::nullopt;  // cut short, or not base64
+  if (to_base64(out) != text) return std::nullopt;  // truncated, or not base64
   return out;
 }
 
@@ -101,8 +101,8 @@
 
 GatewayCall encode(const WatchRequest& watch) {
   Json::Value out;
-  out["create_request"] = range_of(watch.key, watch.end);
-  out["create_request"]["start_revision"] = text_of(watch.start_revision);
+  out["create_request"] = key_range_json(watch.key, watch.end);
+  out["create_request"]["start_revision"] = decimal(watch.start_revision);
   return {"/v3/watch", base::write_json(out), false};
 }
 
--- a/src/store/values.h
+++ b/src/store/values.h
@@ -1,8 +1,8 @@
-// What is asked of the store and what it answers, as values: the part of etcd v3's interface that a fleet
-// needs (etcd.io/docs/v3.5/learning/api). Knows no duty, no bytes and no socket.
+// Requests to the store and its replies as plain values: the part of etcd v3's interface that a fleet needs
+// (etcd.io/docs/v3.5/learning/api). Independent of the wire format and of what the keys mean.
 //
-// Revisions are the store's count of changes and never run backwards, unless it was set back to an older
-// state. A key's create revision is that of its first put since it was last absent.
+// A revision is the store's count of changes. It only grows, unless the store was restored from an older
+// backup. A key's create revision is that of its first put since it was last absent.
 #pragma once
 
 #include <cstdint>
@@ -34,15 +34,15 @@
 struct Compare {
   enum class Target { create_revision, mod_revision, value } target = Target::create_revision;
   std::string key;
-  Revision revision = 0;  // `create`, `mod`: equal to this; 0: the key is absent
-  std::string value;      // `value`: equal to this
+  Revision revision = 0;  // create_revision, mod_revision: equal to this; 0: the key is absent
+  std::string value;      // value: equal to this
 };
 struct Put {
   std::string key, value;
   LeaseId lease = LeaseId::none;
 };
 struct Delete {
-  std::string key, end;  // up to `end`, not included; empty: the one key
+  std::string key, end;  // from `key` up to `end`, exclusive; empty `end`: the one key
 };
 struct Range {
   std::string key, end;   // as Delete
@@ -65,7 +65,7 @@
 };
 struct WatchRequest {
   std::string key, end;
-  Revision start_revision = 0;  // first revision that is told
+  Revision start_revision = 0;  // of the first change that is reported
 };
 using Request = std::variant<Txn, Range, GrantLease, KeepLeaseAlive, RevokeLease>;
 
@@ -76,17 +76,17 @@
   bool operator==(const RangeResult&) const = default;
 };
 struct Completed {
-  Revision revision = 0;            // of the store when it answered
-  bool succeeded = true;            // Txn: the comparisons held; else `otherwise` was carried out
+  Revision revision = 0;            // of the store when it replied
+  bool succeeded = true;            // Txn: the comparisons held; else `on_failure` was applied
   std::vector<RangeResult> ranges;  // of the Range operations, in order; one for a Range
-  LeaseId lease{};                  // Grant, KeepAlive
-  std::int64_t ttl_s = 0;           // the same; KeepAlive of a lease that is gone: 0
+  LeaseId lease{};                  // GrantLease, KeepLeaseAlive
+  std::int64_t ttl_s = 0;           // the same; KeepLeaseAlive of an expired lease: 0
 };
-// Refused by a comparison is `Done` with succeeded == false. `Failed`: it certainly did not count. `Unknown`:
-// it may have: who asked must read back before it acts on either.
+// A transaction whose comparisons failed is `Completed` with succeeded == false. `Failed`: the request was
+// certainly not applied. `OutcomeUnknown`: it may have been applied; the caller reads back before acting.
 struct Failed {
   std::string cause;
-  bool compacted = false;  // a Range or Watch of a revision that the store no longer holds
+  bool compacted = false;  // a Range or WatchRequest of a revision that the store no longer keeps
 };
 struct OutcomeUnknown {
   std::string cause;
@@ -101,10 +101,10 @@
   Revision revision = 0;
   std::vector<WatchEvent> events;
   bool created = false, canceled = false;
-  Revision compact_revision = 0;  // above 0: what was asked for is gone up to here
+  Revision compact_revision = 0;  // above 0: changes up to this revision are compacted
 };
 
-// The end of the range of all keys that begin with `prefix`.
+// The `end` of the range of all keys that begin with `prefix`.
 inline std::string prefix_range_end(std::string prefix) {
   while (!prefix.empty() && static_cast<unsigned char>(prefix.back()) == 0xff) prefix.pop_back();
   if (!prefix.empty()) prefix.back() = static_cast<char>(static_cast<unsigned char>(prefix.back()) + 1);
--- a/src/store/watcher.cpp
+++ b/src/store/watcher.cpp
@@ -3,7 +3,7 @@
 #include <array>
 #include <boost/beast/http.hpp>
 
-#include "store/wire.h"
+#include "store/gateway_codec.h"
 
 namespace yokestream::store {
 namespace {
@@ -17,10 +17,10 @@
 struct Watcher::Parser {
   Parser() {
     message.eager(true);
-    message.body_limit(boost::none);  // a watch has no end; what waits in it is bounded by read()
+    message.body_limit(boost::none);  // a watch is unlimited; read() bounds what is buffered
   }
   http::response_parser<http::string_body> message;
-  std::string held;  // come, and not taken by it yet
+  std::string unparsed;  // received, not consumed by `message` yet
 };
 
 Watcher::Watcher() = default;
@@ -37,8 +37,8 @@
   close();
   net::Socket* socket = connection_.renew();
   net::ConnectFailure failure;
-  const std::string bytes = http_of(encode(watch), at);
-  // a call of some hundred bytes fits what a new connection takes at once
+  const std::string bytes = serialize_http_request(encode(watch), at);
+  // a request of some hundred bytes fits the send buffer of a new connection
   if (socket && socket->connect(at, deadline, &failure) && socket->write_now(bytes) == bytes.size())
     parser_ = std::make_unique<Parser>();
   else
@@ -46,8 +46,8 @@
   return is_open();
 }
 
-// Each message is a line. False: what came is no watch.
-bool Watcher::take_lines(std::deque<WatchResponse>& out) {
+// Each message is a line.
+bool Watcher::parse_messages(std::deque<WatchResponse>& out) {
   if (!parser_->message.is_header_done()) return true;
   if (parser_->message.get().result_int() != 200) return false;
   std::string& body = parser_->message.get().body();
@@ -65,20 +65,20 @@
 std::deque<WatchResponse> Watcher::read() {
   std::deque<WatchResponse> out;
   std::array<char, kReadBytes> bytes;
-  bool good = true;
-  while (good && is_open()) {
+  bool valid = true;
+  while (valid && is_open()) {
     net::Socket* socket = connection_.get();
     const auto size = socket ? socket->read_now(bytes.data(), bytes.size()) : std::size_t{0};
     if (!size) break;
     boost::system::error_code error;
-    parser_->held.append(bytes.data(), *size);
-    const auto taken = parser_->message.put(boost::asio::buffer(parser_->held), error);
-    parser_->held.erase(0, taken);
-    good = *size > 0 && (!error || error == http::error::need_more) && !parser_->message.is_done() &&
-           parser_->held.size() <= kMaxReplyBytes;
-    good = take_lines(out) && good;
+    parser_->unparsed.append(bytes.data(), *size);
+    const auto consumed = parser_->message.put(boost::asio::buffer(parser_->unparsed), error);
+    parser_->unparsed.erase(0, consumed);
+    valid = *size > 0 && (!error || error == http::error::need_more) && !parser_->message.is_done() &&
+            parser_->unparsed.size() <= kMaxReplyBytes;
+    valid = parse_messages(out) && valid;
   }
-  if (!good) close();
+  if (!valid) close();
   return out;
 }
 
--- a/src/store/watcher.h
+++ b/src/store/watcher.h
@@ -1,7 +1,6 @@
-// One watch of the store, on a connection of its own: opened by a blocking call, then read as bytes come.
+// One watch of the store on a connection of its own: opened by a blocking call, then read as bytes arrive.
 //
-// One thread at a time; stop() may come from any. Memory: one message of at most kMostReply bytes.
-// Descriptors: one.
+// Not thread-safe, except stop(). Memory: one message of at most kMaxReplyBytes. Descriptors: one.
 #pragma once
 
 #include <deque>
@@ -17,21 +16,21 @@
  public:
   Watcher();
   ~Watcher();
-  // False: it is not open, nor is one from before.
+  // Closes the watch that was open. False: the new one could not be opened by `deadline`.
   bool open(const WatchRequest& watch, const config::Endpoint& at, net::Time deadline);
   void close();
-  void stop() { connection_.stop(); }
+  void stop() { connection_.stop(); }  // any thread: for good
   bool is_open() const { return parser_ != nullptr; }
-  int descriptor() const;  // to wait on; -1: it is not open
-  // Messages that have come; never waits. Once it is over, is_open() is false afterwards.
+  int descriptor() const;  // to poll for input; -1: not open
+  // Messages that have arrived; never blocks. is_open() is false afterwards if the watch ended.
   std::deque<WatchResponse> read();
 
  private:
   struct Parser;
-  bool take_lines(std::deque<WatchResponse>& out);
+  bool parse_messages(std::deque<WatchResponse>& out);  // false: the stream is malformed
 
   CancellableSocket connection_;
-  std::unique_ptr<Parser> parser_;
+  std::unique_ptr<Parser> parser_;  // nullptr: not open
 };
 
 }  // namespace yokestream::store
--- a/tests/golden/stored_bytes.cpp
+++ b/tests/golden/stored_bytes.cpp
@@ -3,7 +3,7 @@
 #include <iterator>
 
 #include "base/json.h"
-#include "coordination/shares.h"
+#include "coordination/load_shares.h"
 #include "figures/figures.h"
 #include "line_hash.h"
 #include "migration/record.h"
--- a/tests/node/duty_fixture.h
+++ b/tests/node/duty_fixture.h
@@ -1,4 +1,4 @@
-// What the tests of duties share: a calm world, and what stands in its store.
+// Shared by the tests of coordination: settings without faults, and readers of the simulated store.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -12,17 +12,17 @@
 using standin::DutySettings;
 using standin::DutyWorld;
 
-inline DutySettings calm(std::size_t processes = 3) {
+inline DutySettings fault_free_settings(std::size_t processes = 3) {
   DutySettings s;
   s.processes = processes;
   s.lost = s.replies_lost = s.slow = s.watch_cut = 0;
   return s;
 }
-inline bool well(const DutyWorld& world) {
+inline bool no_violation(const DutyWorld& world) {
   CHECK(world.figures().violation == "");
   return world.figures().violation.empty();
 }
-inline store::Range line() {
+inline store::Range candidates_range() {
   const std::string prefix =
       coordination::StoreKeys("/yokestream").candidates(coordination::FleetMember::kLoadShareTask);
   return {prefix, store::prefix_range_end(prefix), 0};
--- a/tests/node/duty_random_test.cpp
+++ b/tests/node/duty_random_test.cpp
@@ -1,11 +1,13 @@
-// Duties under random troubles on the virtual clock, and each rule of the checker shown to find its
+// Coordination under random faults on the virtual clock, and each rule of the checker shown to find its
 // violation.
 #include "duty_fixture.h"
 
 namespace yokestream::test {
 namespace {
 
-TEST_CASE("random troubles: one owner, terms that grow, all acknowledged, never more than the whole") {
+// Failure: processes are killed, paused, partitioned and slowed at random for a quarter of an hour.
+// Expected: no rule of the checker is violated, and the fleet has a leader and new tables in the end.
+TEST_CASE("under random faults there is one leader, tokens grow, and shares never exceed the whole") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     DutySettings settings;
     settings.processes = 3 + seed % 5;
@@ -16,14 +18,14 @@
     world.all_well(900s);
     world.run(1000s);
     INFO("seed " << seed << " at " << std::chrono::duration<double>(world.time()).count() << " s");
-    REQUIRE(well(world));
+    REQUIRE(no_violation(world));
     CHECK(world.owner().has_value());
     CHECK(table(world)->epoch > 3);
   }
 }
 
-// Each rule finds its violation: one guard is left out, and the checker names the rule.
-std::string found_without(unsigned guard) {
+// The first violation that the checker finds with one guard disabled; empty: none.
+std::string violation_without(unsigned guard) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     DutySettings settings;
     settings.processes = 4;
@@ -47,7 +49,9 @@
   return "";
 }
 
-TEST_CASE("clocks whose rates differ by more than is assumed break the rule, and the checker says so") {
+// Failure: clock rates differ by 40 percent, far beyond Settings::clock_drift.
+// Expected: shares exceed the whole at some moment, which shows that the checker measures it.
+TEST_CASE("the checker finds the violation when clock rates differ by more than the settings assume") {
   DutySettings settings;
   settings.processes = 4;
   settings.rates = 0.4;
@@ -70,12 +74,14 @@
   CHECK(found.rfind("sum", 0) == 0);
 }
 
-TEST_CASE("the checker names the rule whose guard is left out") {
-  CHECK(found_without(0) == "");
-  CHECK(found_without(coordination::Settings::kTerm).rfind("S1", 0) == 0);
-  CHECK(found_without(coordination::Settings::kAcknowledged).rfind("S3", 0) == 0);
-  CHECK(found_without(coordination::Settings::kExpiry).rfind("sum", 0) == 0);
-  CHECK(found_without(coordination::Settings::kFree).rfind("sum", 0) == 0);
+// Failure: one guard of the protocol is missing.
+// Expected: the checker reports the rule that this guard protects, and nothing with all guards in place.
+TEST_CASE("the checker names the rule whose guard is disabled") {
+  CHECK(violation_without(0) == "");
+  CHECK(violation_without(coordination::Settings::kFencing).rfind("S1", 0) == 0);
+  CHECK(violation_without(coordination::Settings::kAcknowledged).rfind("S3", 0) == 0);
+  CHECK(violation_without(coordination::Settings::kLeaseExpiry).rfind("sum", 0) == 0);
+  CHECK(violation_without(coordination::Settings::kUnallocated).rfind("sum", 0) == 0);
 }
 
 }  // namespace
--- a/tests/node/duty_search_test.cpp
+++ b/tests/node/duty_search_test.cpp
@@ -1,11 +1,11 @@
-// All that two candidates for a duty and their store can come to, within bounds: calls that are lost, late
-// after who asked gave them up, and overtaken; leases that end unnoticed; watches that tell late; an owner
-// that does nothing. States are hashed and counted.
+// Exhaustive search, within bounds, of all states of two candidates and their store: calls that are lost,
+// delivered after the caller timed out, or overtaken; leases that end unnoticed; late watch events; a leader
+// without progress. States are hashed and counted.
 #include <deque>
 #include <unordered_set>
 
 #include "duty_fixture.h"
-#include "store/wire.h"
+#include "store/gateway_codec.h"
 
 namespace yokestream::test {
 namespace {
@@ -13,48 +13,49 @@
 using coordination::LeaderElection;
 
 constexpr std::size_t kCandidates = 2;
-constexpr std::size_t kMostOnTheWay =
-    1;  // calls of one candidate: one given up is late, or lost, before the next
-constexpr store::Revision kMostRevision = 7;
-constexpr int kMostWrites = 1;  // that one candidate tries
+constexpr std::size_t kMaxCallsInTransit =
+    1;  // calls of one candidate: one that timed out is delivered late or lost before the next
+constexpr store::Revision kMaxRevision = 7;
+constexpr int kMaxWrites = 1;  // of one candidate
 const Time kNow{1000s};
 const coordination::Settings kSettings;
-const std::string kLineOf = "d/line/", kBeat = "d/beat", kState = "d/state";
+const std::string kCandidatesPrefix = "d/line/", kProgressKey = "d/beat", kStateKey = "d/state";
 
 struct Call {
   store::Request request;
-  std::string digest = store::encode(request).body;  // once: most states have it from the one before
+  std::string digest = store::encode(request).body;  // computed once, copied from state to state
 };
 struct Candidate {
-  LeaderElection election{kSettings, kLineOf, kBeat};
-  std::optional<store::Request> asked;  // what it waits for an answer to
-  std::vector<Call> on_the_way;
-  std::optional<store::Reply> answer;
-  std::size_t life = 0;
+  LeaderElection election{kSettings, kCandidatesPrefix, kProgressKey};
+  std::optional<store::Request> in_flight;  // the request that it waits for
+  std::vector<Call> in_transit;
+  std::optional<store::Reply> reply_pending;
+  std::size_t incarnation = 0;
   int writes = 0;
-  bool lease_over = false, writing = false, late_clock = false;
+  bool lease_ended = false, writing = false, late_clock = false;
   Time now() const { return late_clock ? kNow + kSettings.progress_timeout + 1s : kNow; }
 };
 struct World {
   standin::StoreModel store;
-  std::array<Candidate, kCandidates> all;
-  store::Revision last_term = 0;
-  std::string broken;
+  std::array<Candidate, kCandidates> candidates;
+  store::Revision last_token = 0;
+  std::string violation;
 };
 
-store::LeaseId lease_of(std::size_t p, std::size_t life) {
-  return store::LeaseId(1001 + p + kCandidates * life);
+store::LeaseId lease_of(std::size_t p, std::size_t incarnation) {
+  return store::LeaseId(1001 + p + kCandidates * incarnation);
 }
 
 std::string digest(const World& w) {
   std::string out = std::to_string(w.store.revision());
   for (const auto& kv : w.store.range({"d/", "d0", 0}))
     out += kv.key + std::to_string(kv.create_revision) + ',' + std::to_string(kv.mod_revision) + kv.value;
-  for (const auto& c : w.all) {
-    out += '\n' + c.election.digest() + std::to_string(c.life) + std::to_string(c.writes);
-    for (const bool b : {c.lease_over, c.writing, c.late_clock, c.asked.has_value()}) out += b ? '1' : '0';
-    for (const auto& m : c.on_the_way) out += '>' + m.digest;
-    if (const auto* done = c.answer ? std::get_if<store::Completed>(&*c.answer) : nullptr) {
+  for (const auto& c : w.candidates) {
+    out += '\n' + c.election.digest() + std::to_string(c.incarnation) + std::to_string(c.writes);
+    for (const bool b : {c.lease_ended, c.writing, c.late_clock, c.in_flight.has_value()})
+      out += b ? '1' : '0';
+    for (const auto& m : c.in_transit) out += '>' + m.digest;
+    if (const auto* done = c.reply_pending ? std::get_if<store::Completed>(&*c.reply_pending) : nullptr) {
       out += '<' + std::to_string(done->revision) + (done->succeeded ? 'y' : 'n');
       for (const auto& r : done->ranges)
         for (const auto& kv : r.key_values)
@@ -64,126 +65,134 @@
   return out;
 }
 
-// S1: what is written of the state is the owner's, in a term that never falls.
+// S1: the state is written by the leader alone, under a token that never decreases.
 void check(World& w) {
-  const auto state = w.store.range({kState, {}, 0});
+  const auto state = w.store.range({kStateKey, {}, 0});
   if (state.empty() || state[0].mod_revision != w.store.revision()) return;
   store::Revision oldest = 0;
-  for (const auto& kv : w.store.range({kLineOf, store::prefix_range_end(kLineOf), 0}))
+  for (const auto& kv : w.store.range({kCandidatesPrefix, store::prefix_range_end(kCandidatesPrefix), 0}))
     oldest = oldest == 0 ? kv.create_revision : std::min(oldest, kv.create_revision);
-  const store::Revision term = std::stoll(state[0].value);
-  if (term != oldest) w.broken = "S1: term " + state[0].value + ", the owner's is " + std::to_string(oldest);
-  if (term < w.last_term) w.broken = "S1: an older term";
-  w.last_term = term;
+  const store::Revision token = std::stoll(state[0].value);
+  if (token != oldest)
+    w.violation = "S1: term " + state[0].value + ", the owner's is " + std::to_string(oldest);
+  if (token < w.last_token) w.violation = "S1: an older term";
+  w.last_token = token;
 }
 
-// Every step that candidate p and its way to the store can take from here.
+// Every step that candidate p and its link to the store can take from this state.
 template <class Visit>
 void steps(const World& from, std::size_t p, bool guarded, Visit visit) {
   const auto step = [&](auto change) {
     World next = from;
-    change(next, next.all[p]);
-    if (next.store.revision() <= kMostRevision) visit(std::move(next));
+    change(next, next.candidates[p]);
+    if (next.store.revision() <= kMaxRevision) visit(std::move(next));
   };
-  const Candidate& c = from.all[p];
-  const bool free = !c.asked && c.on_the_way.size() < kMostOnTheWay;
+  const Candidate& c = from.candidates[p];
+  const bool free = !c.in_flight && c.in_transit.size() < kMaxCallsInTransit;
   const auto send = [](Candidate& n, store::Request r) {
-    n.asked = r, n.on_the_way.push_back({std::move(r)});
+    n.in_flight = r;
+    n.in_transit.push_back({std::move(r)});
   };
   if (free && c.election.next_request(c.now()))
     step([&](World&, Candidate& n) {
-      send(n, *n.election.next_request(n.now())), n.election.on_request_sent();
+      send(n, *n.election.next_request(n.now()));
+      n.election.on_request_sent();
     });
-  if (free && c.election.is_leader() && c.writes < kMostWrites)
+  if (free && c.election.is_leader() && c.writes < kMaxWrites)
     step([&](World&, Candidate& n) {
-      store::Txn txn{
-          {},
-          {store::Put{kState, std::to_string(n.election.fencing_token()), {}}, store::Put{kBeat, "", {}}},
-          {}};
+      store::Txn txn{{},
+                     {store::Put{kStateKey, std::to_string(n.election.fencing_token()), {}},
+                      store::Put{kProgressKey, "", {}}},
+                     {}};
       if (guarded) txn.compares.push_back(n.election.leadership_guard());
-      send(n, txn), n.writing = true, ++n.writes;
+      send(n, txn);
+      n.writing = true;
+      ++n.writes;
     });
-  for (std::size_t m = 0; m < c.on_the_way.size(); ++m) {
+  for (std::size_t m = 0; m < c.in_transit.size(); ++m) {
     step([&](World&, Candidate& n) {
-      n.on_the_way.erase(n.on_the_way.begin() + static_cast<long>(m));
+      n.in_transit.erase(n.in_transit.begin() + static_cast<long>(m));
     });                                 // lost
-    step([&](World& w, Candidate& n) {  // it arrives; who gave it up hears nothing
-      const auto result = w.store.handle(kNow, n.on_the_way[m].request);
-      const bool awaited = n.asked && m + 1 == n.on_the_way.size();
-      n.on_the_way.erase(n.on_the_way.begin() + static_cast<long>(m));
+    step([&](World& w, Candidate& n) {  // delivered; a caller that timed out gets no reply
+      const auto result = w.store.handle(kNow, n.in_transit[m].request);
+      const bool awaited = n.in_flight && m + 1 == n.in_transit.size();
+      n.in_transit.erase(n.in_transit.begin() + static_cast<long>(m));
       if (awaited)
-        n.answer = result.code == 0 ? store::Reply(result.done) : store::Failed{result.message, false};
+        n.reply_pending = result.code == 0 ? store::Reply(result.done) : store::Failed{result.message, false};
       check(w);
     });
   }
-  const auto hear = [](Candidate& n, const store::Reply& reply) {
-    n.asked.reset(), n.answer.reset();
+  const auto deliver = [](Candidate& n, const store::Reply& reply) {
+    n.in_flight.reset();
+    n.reply_pending.reset();
     const auto* done = std::get_if<store::Completed>(&reply);
     if (!std::exchange(n.writing, false)) return n.election.on_reply(n.now(), reply);
     if (done && !done->succeeded) n.election.on_leadership_lost();
   };
-  if (c.answer) step([&](World&, Candidate& n) { hear(n, store::Reply(*n.answer)); });
-  if (c.asked)  // it gives up, and what it asked may arrive still, or its answer be lost
+  if (c.reply_pending) step([&](World&, Candidate& n) { deliver(n, store::Reply(*n.reply_pending)); });
+  if (c.in_flight)  // timeout: the request may still be delivered, or its reply was lost
     step([&](World&, Candidate& n) {
-      const store::Reply gone =
-          store::may_change(*n.asked) ? store::Reply(store::OutcomeUnknown{""}) : store::Failed{"", false};
-      hear(n, gone);
+      const store::Reply no_reply = store::may_change(*n.in_flight) ? store::Reply(store::OutcomeUnknown{""})
+                                                                    : store::Failed{"", false};
+      deliver(n, no_reply);
     });
-  if (!c.lease_over && c.life < 1)
+  if (!c.lease_ended && c.incarnation < 1)
     step([&](World& w, Candidate& n) {
-      n.lease_over = true, w.store.handle(kNow, store::RevokeLease{lease_of(p, n.life)});
+      n.lease_ended = true;
+      w.store.handle(kNow, store::RevokeLease{lease_of(p, n.incarnation)});
     });
-  if (c.lease_over && !c.asked)  // it finds out, and stands again
+  if (c.lease_ended && !c.in_flight)  // it notices, and becomes a candidate again
     step([&](World&, Candidate& n) {
-      n.lease_over = false, ++n.life;
-      n.election.campaign(lease_of(p, n.life), "n");
+      n.lease_ended = false;
+      ++n.incarnation;
+      n.election.campaign(lease_of(p, n.incarnation), "n");
     });
-  const auto ahead = c.election.predecessor_watch();
-  if (ahead && from.store.range({ahead->key, {}, 0}).empty())
+  const auto predecessor = c.election.predecessor_watch();
+  if (predecessor && from.store.range({predecessor->key, {}, 0}).empty())
     step([&](World&, Candidate& n) { n.election.on_predecessor_gone(); });
   if (p == 1 && !c.late_clock) step([&](World&, Candidate& n) { n.late_clock = true; });
 }
 
-struct Found {
+struct SearchResult {
   std::size_t states = 0;
-  std::string broken;
-  bool both_owned = false;  // one after the other: the search came that far
+  std::string violation;
+  bool both_led = false;  // one after the other: the search covers a change of leader
 };
-Found search(bool guarded) {
+SearchResult search(bool guarded) {
   World begin;
   for (std::size_t i = 0; i < 2 * kCandidates; ++i) begin.store.handle(kNow, store::GrantLease{1000});
-  for (std::size_t p = 0; p < kCandidates; ++p) begin.all[p].election.campaign(lease_of(p, 0), "n");
-  Found found;
-  std::unordered_set<std::size_t> seen;
-  std::deque<World> open{begin};
-  while (!open.empty() && found.broken.empty()) {
-    const World world = std::move(open.front());
-    open.pop_front();
+  for (std::size_t p = 0; p < kCandidates; ++p) begin.candidates[p].election.campaign(lease_of(p, 0), "n");
+  SearchResult result;
+  std::unordered_set<std::size_t> visited;
+  std::deque<World> frontier{begin};
+  while (!frontier.empty() && result.violation.empty()) {
+    const World world = std::move(frontier.front());
+    frontier.pop_front();
     for (std::size_t p = 0; p < kCandidates; ++p) {
       steps(world, p, guarded, [&](World next) {
-        if (!seen.insert(std::hash<std::string>()(digest(next))).second) return;
-        found.both_owned = found.both_owned || (next.all[0].writes > 0 && next.all[1].writes > 0);
-        if (!next.broken.empty()) found.broken = next.broken;
-        open.push_back(std::move(next));
+        if (!visited.insert(std::hash<std::string>()(digest(next))).second) return;
+        result.both_led = result.both_led || (next.candidates[0].writes > 0 && next.candidates[1].writes > 0);
+        if (!next.violation.empty()) result.violation = next.violation;
+        frontier.push_back(std::move(next));
       });
     }
   }
-  found.states = seen.size();
-  return found;
+  result.states = visited.size();
+  return result;
 }
 
-TEST_CASE("no order of calls, losses, pauses and ends lets an old owner write") {
-  const Found found = search(true);
-  MESSAGE("states: " << found.states);
-  CHECK(found.broken == "");
-  CHECK(found.both_owned);
-  CHECK(found.states > 10'000);
+TEST_CASE("no order of calls, losses, pauses and lease ends lets a former leader write") {
+  const SearchResult result = search(true);
+  MESSAGE("states: " << result.states);
+  CHECK(result.violation == "");
+  CHECK(result.both_led);
+  CHECK(result.states > 10'000);
 }
 
-TEST_CASE("without the comparison of the term the search finds an old owner's write") {
-  const Found found = search(false);
-  MESSAGE("states until it was found: " << found.states);
-  CHECK(found.broken.rfind("S1", 0) == 0);
+TEST_CASE("without the comparison of the fencing token the search finds a former leader's write") {
+  const SearchResult result = search(false);
+  MESSAGE("states until it was found: " << result.states);
+  CHECK(result.violation.rfind("S1", 0) == 0);
 }
 
 }  // namespace
--- a/tests/node/migration_random_test.cpp
+++ b/tests/node/migration_random_test.cpp
@@ -21,7 +21,7 @@
     play(world, settings, a_plan(3), 300s);
     world.run(700s);
     INFO("seed " << seed << " at " << std::chrono::duration<double>(world.time()).count() << " s");
-    REQUIRE(well(world));
+    REQUIRE(no_violation(world));
     CHECK(world.migrations().outcomes.count("south") == 1);
     CHECK(world.figures().edges.sent > 1000);
   }
@@ -38,13 +38,13 @@
     play(world, settings, plan, 120s);
     world.run(500s);
     INFO("seed " << seed);
-    REQUIRE(well(world));
+    REQUIRE(no_violation(world));
     CHECK(world.migrations().outcomes.at("south").rfind("went back: served", 0) == 0);
     CHECK(world.migrations().homes.at(TableGroupId{1}).name == "old");
   }
 }
 
-std::string found_without(unsigned guard) {
+std::string violation_without(unsigned guard) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     auto settings = moving(4, 3, seed);
     settings.edges.without = guard;
@@ -80,11 +80,11 @@
 }
 
 TEST_CASE("the checker names the rule whose guard is left out") {
-  CHECK(found_without(0) == "");
+  CHECK(violation_without(0) == "");
   for (const auto guard :
        {MigrationTask::kAcknowledged, MigrationTask::kLongest, MigrationTask::kOrder, MigrationTask::kStop}) {
     INFO("without guard " << guard);
-    CHECK(found_without(guard).rfind("S6", 0) == 0);
+    CHECK(violation_without(guard).rfind("S6", 0) == 0);
   }
   CHECK(found_with_newcomers(0) == "");
   CHECK(found_with_newcomers(MigrationTask::kRoster).rfind("S6", 0) == 0);
--- a/tests/node/store_test.cpp
+++ b/tests/node/store_test.cpp
@@ -1,5 +1,5 @@
-// The store's client: the gateway's JSON both ways, addresses, and calls to the stand-in store over a way
-// that fails at each step.
+// The store's client: the gateway codec, the endpoint rotation, and calls to the fake store over a link that
+// fails at each step.
 #include <doctest/doctest.h>
 
 #include <set>
@@ -9,8 +9,8 @@
 #include "standin/link.h"
 #include "standin/store_server.h"
 #include "store/client.h"
+#include "store/gateway_codec.h"
 #include "store/watcher.h"
-#include "store/wire.h"
 
 namespace yokestream::test {
 namespace {
@@ -20,9 +20,9 @@
 using standin::Link;
 using standin::StoreServer;
 
-constexpr auto kSoon = 2s;
+constexpr auto kCallTimeout = 2s;
 
-TEST_CASE("base64 round, and what is none") {
+TEST_CASE("base64 decodes what it encoded and rejects what is malformed") {
   Steps steps(1);
   for (int i = 0; i < 300; ++i) {
     std::string bytes(steps.below(70), '\0');
@@ -33,7 +33,7 @@
     CHECK_FALSE(from_base64(bad));
 }
 
-TEST_CASE("replies that make no sense count as none: unknown where the call writes, failed where it reads") {
+TEST_CASE("a malformed reply is an unknown outcome where the call writes and a failure where it reads") {
   const Request txn = Txn{{}, {Put{"k", "v", {}}}, {}}, range = Range{"k", {}, 0};
   Steps steps(2);
   const std::string good =
@@ -59,29 +59,31 @@
   CHECK_FALSE(decode_watch_response(R"({"result":{"events":[{"kv":{}}]}})"));
 }
 
-TEST_CASE("300 clients that lost the store come back over a minute, none in a crowd") {
+// Failure: the store is away for a minute, then all managers reconnect in the same second.
+// Expected: their attempts are spread, so the store is not overloaded by its own recovery.
+TEST_CASE("300 clients that lost the store reconnect over a minute, at most 15 a second") {
   std::map<std::int64_t, int> by_second;
   for (std::uint64_t seed = 0; seed < 300; ++seed) {
-    EndpointRotation addresses(std::vector<config::Endpoint>(3), seed * 7919, 75s);
+    EndpointRotation rotation(std::vector<config::Endpoint>(3), seed * 7919, 75s);
     Time time{1000s};
-    for (; time < Time{1060s}; time = std::max(time + 1ms, addresses.next_attempt_at()))
-      addresses.record_failure(time);
+    for (; time < Time{1060s}; time = std::max(time + 1ms, rotation.next_attempt_at()))
+      rotation.record_failure(time);
     ++by_second[time.time_since_epoch() / 1s];
-    addresses.record_success(time);
-    CHECK(addresses.next_attempt_at() <= time);
+    rotation.record_success(time);
+    CHECK(rotation.next_attempt_at() <= time);
   }
   for (const auto& [second, count] : by_second) CHECK(count <= 15);
 }
 
-struct Away {
+struct StoreOverLink {
   StoreServer server;
   Link link{server.endpoint()};
   Client client{{link.endpoint()}, 7, 1s};
-  Reply ask(const Request& request, Duration patience = kSoon) {
-    return client.call(request, now() + patience);
+  Reply call(const Request& request, Duration timeout = kCallTimeout) {
+    return client.call(request, now() + timeout);
   }
   template <class Kind>
-  bool is(const Reply& reply) {
+  bool holds(const Reply& reply) {
     return std::holds_alternative<Kind>(reply);
   }
   Txn put(const std::string& value) { return {{}, {Put{"a/k", value, LeaseId::none}}, {}}; }
@@ -91,88 +93,101 @@
       return found.empty() ? std::string() : found[0].value;
     });
   }
-  void come_back() {
+  void wait_for_backoff() {
     while (now() < client.next_attempt_at()) std::this_thread::yield();
   }
 };
 
-TEST_CASE_FIXTURE(Away, "transactions, leases and reads as of a revision, over the wire as in the model") {
-  const auto lease = std::get<Completed>(ask(GrantLease{5})).lease;
-  const Txn enter{{{Compare::Target::create_revision, "a/k", 0, {}}},
-                  {Put{"a/k", std::string("\0\xff", 2), lease}, Range{"a/", "a0", 0}},
-                  {Range{"a/", "a0", 0}}};
-  const auto first = std::get<Completed>(ask(enter)), second = std::get<Completed>(ask(enter));
+TEST_CASE_FIXTURE(StoreOverLink,
+                  "transactions, leases and reads at a revision give over the wire what the model gives") {
+  const auto lease = std::get<Completed>(call(GrantLease{5})).lease;
+  const Txn campaign{{{Compare::Target::create_revision, "a/k", 0, {}}},
+                     {Put{"a/k", std::string("\0\xff", 2), lease}, Range{"a/", "a0", 0}},
+                     {Range{"a/", "a0", 0}}};
+  const auto first = std::get<Completed>(call(campaign)), second = std::get<Completed>(call(campaign));
   CHECK(first.succeeded);
   CHECK_FALSE(second.succeeded);
   CHECK(first.ranges == second.ranges);
   CHECK(second.ranges[0].key_values[0].value == std::string("\0\xff", 2));
   CHECK(second.ranges[0].key_values[0].lease == lease);
-  CHECK(std::get<Completed>(ask(put("later"))).revision == first.revision + 1);
-  CHECK(std::get<Completed>(ask(Range{"a/k", {}, first.revision})).ranges == first.ranges);
-  CHECK(std::get<Completed>(ask(KeepLeaseAlive{lease})).ttl_s == 5);
-  CHECK(is<Completed>(ask(RevokeLease{lease})));
-  CHECK(std::get<Completed>(ask(KeepLeaseAlive{lease})).ttl_s == 0);
-  CHECK(is<Failed>(ask(Txn{{}, {Put{"a/l", "", lease}}, {}})));
+  CHECK(std::get<Completed>(call(put("later"))).revision == first.revision + 1);
+  CHECK(std::get<Completed>(call(Range{"a/k", {}, first.revision})).ranges == first.ranges);
+  CHECK(std::get<Completed>(call(KeepLeaseAlive{lease})).ttl_s == 5);
+  CHECK(holds<Completed>(call(RevokeLease{lease})));
+  CHECK(std::get<Completed>(call(KeepLeaseAlive{lease})).ttl_s == 0);
+  CHECK(holds<Failed>(call(Txn{{}, {Put{"a/l", "", lease}}, {}})));
   server.with([](auto& model) { model.compact(); });
-  CHECK(std::get<Failed>(ask(Range{"a/k", {}, 1})).compacted);
+  CHECK(std::get<Failed>(call(Range{"a/k", {}, 1})).compacted);
 }
 
-TEST_CASE_FIXTURE(Away, "a reply that is lost after the commit is unknown, not failed") {
+// Failure: the store commits a transaction and its reply is lost.
+// Expected: the client must not report it as failed, or its caller would repeat a write that counted.
+TEST_CASE_FIXTURE(StoreOverLink, "a reply lost after the commit is an unknown outcome, not a failure") {
   server.lose_reply([](const Txn&) { return true; });
-  CHECK(is<OutcomeUnknown>(ask(put("1"))));
+  CHECK(holds<OutcomeUnknown>(call(put("1"))));
   CHECK(server.lost_reply());
   CHECK(value() == "1");
-  come_back();
-  CHECK(is<Completed>(ask(put("2"))));
+  wait_for_backoff();
+  CHECK(holds<Completed>(call(put("2"))));
 }
 
-TEST_CASE_FIXTURE(Away, "a call that never arrives is unknown to who asks, and one that comes late counts") {
-  CHECK(is<Completed>(ask(put("0"))));
+// Failure: the network holds a request beyond its deadline and delivers it later, or loses the reply.
+// Expected: a write has an unknown outcome; a read has simply failed.
+TEST_CASE_FIXTURE(
+    StoreOverLink,
+    "a call that is not delivered in time is an unknown outcome, and is applied when it arrives late") {
+  CHECK(holds<Completed>(call(put("0"))));
   link.there(Link::Way::hold);
-  CHECK(is<OutcomeUnknown>(ask(put("1"), 100ms)));
+  CHECK(holds<OutcomeUnknown>(call(put("1"), 100ms)));
   CHECK(value() == "0");
   link.there(Link::Way::pass);
   server.wait([&](auto& model) { return model.range({"a/k", {}, 0})[0].value == "1"; });
   link.back(Link::Way::lose);
-  come_back();
-  CHECK(is<OutcomeUnknown>(ask(put("2"), 100ms)));
+  wait_for_backoff();
+  CHECK(holds<OutcomeUnknown>(call(put("2"), 100ms)));
   CHECK(value() == "2");
-  come_back();
-  CHECK(is<Failed>(ask(Range{"a/k", {}, 0}, 100ms)));  // a read changes nothing
+  wait_for_backoff();
+  CHECK(holds<Failed>(call(Range{"a/k", {}, 0}, 100ms)));  // a read changes nothing
 }
 
-TEST_CASE_FIXTURE(
-    Away, "a store that refuses, errs or talks nonsense is away; a call before its time fails at once") {
+// Failure: the store first answers with errors, then refuses connections, then recovers.
+// Expected: no call is reported as complete meanwhile, and calls succeed again after the backoff.
+TEST_CASE_FIXTURE(StoreOverLink,
+                  "a store that refuses connections or reports errors is retried after its backoff") {
   server.fail_writes(standin::StoreModel::kUnavailable);
-  CHECK(is<OutcomeUnknown>(ask(put("1"))));
+  CHECK(holds<OutcomeUnknown>(call(put("1"))));
   server.fail_writes(0);
-  CHECK(is<Completed>(ask(put("1"))));
-  link.refuse(true), link.close_all();
-  CHECK_FALSE(is<Completed>(ask(put("2"))));
-  while (is<OutcomeUnknown>(ask(put("2")))) {
+  CHECK(holds<Completed>(call(put("1"))));
+  link.refuse(true);
+  link.close_all();
+  CHECK_FALSE(holds<Completed>(call(put("2"))));
+  while (holds<OutcomeUnknown>(call(put("2")))) {
   }
   link.refuse(false);
-  come_back();
-  while (!is<Completed>(ask(put("3")))) come_back();
+  wait_for_backoff();
+  while (!holds<Completed>(call(put("3")))) wait_for_backoff();
   CHECK(value() == "3");
 }
 
-TEST_CASE_FIXTURE(Away, "stop() ends a call that waits, and all that follow") {
+// Failure: the process shuts down while a call waits for a reply that never comes.
+// Expected: the call returns at once instead of at its deadline of a minute.
+TEST_CASE_FIXTURE(StoreOverLink, "stop() ends the call in progress and fails all later ones") {
   link.back(Link::Way::lose);
   net::Thread stopper("stopper", net::kLargeStack, [&] {
     server.wait([](auto& model) { return !model.range({"a/k", {}, 0}).empty(); });
     client.stop();
   });
-  CHECK(is<OutcomeUnknown>(ask(put("1"), 60s)));
-  CHECK(is<Failed>(ask(put("2"))));
+  CHECK(holds<OutcomeUnknown>(call(put("1"), 60s)));
+  CHECK(holds<Failed>(call(put("2"))));
 }
 
-struct Watching : Away {
+struct WatchOverLink : StoreOverLink {
   Watcher watcher;
   bool open(Revision from) {
-    return watcher.open({"a/", prefix_range_end("a/"), from}, link.endpoint(), now() + kSoon);
+    return watcher.open({"a/", prefix_range_end("a/"), from}, link.endpoint(), now() + kCallTimeout);
   }
-  std::vector<std::string> hear(std::size_t events) {  // values; "-": removed. Until so many, or its end
+  std::vector<std::string> read_values(
+      std::size_t events) {  // values; "-": removed. Until `events` of them, or the watch ends
     std::vector<std::string> out;
     while (out.size() < events && watcher.is_open()) {
       for (const auto& message : watcher.read()) {
@@ -186,25 +201,30 @@
   }
 };
 
-TEST_CASE_FIXTURE(Watching,
-                  "a watch tells all from its revision on, in order, and of its end when it is cut") {
-  const auto first = std::get<Completed>(ask(put("1"))).revision;
-  CHECK(is<Completed>(ask(put("2"))));
+// Failure: the connection of a watch is closed under it.
+// Expected: the watch reports its end, so that its user reads all keys again.
+TEST_CASE_FIXTURE(
+    WatchOverLink,
+    "a watch reports all changes from its revision on, in order, and its end when it is disconnected") {
+  const auto first = std::get<Completed>(call(put("1"))).revision;
+  CHECK(holds<Completed>(call(put("2"))));
   REQUIRE(open(first + 1));
-  CHECK(is<Completed>(ask(put("3"))));
-  CHECK(is<Completed>(ask(Txn{{}, {Delete{"a/k", {}}}, {}})));
-  CHECK(hear(3) == std::vector<std::string>{"2", "3", "-"});
+  CHECK(holds<Completed>(call(put("3"))));
+  CHECK(holds<Completed>(call(Txn{{}, {Delete{"a/k", {}}}, {}})));
+  CHECK(read_values(3) == std::vector<std::string>{"2", "3", "-"});
   link.close_all();
-  CHECK(hear(1).empty());
+  CHECK(read_values(1).empty());
   CHECK_FALSE(watcher.is_open());
   CHECK(watcher.descriptor() == -1);
 }
 
-TEST_CASE_FIXTURE(Watching, "a watch of what is compacted says so") {
-  CHECK(is<Completed>(ask(put("1"))));
+// Failure: a watch starts at a revision that the store has compacted.
+// Expected: it is told so, instead of silently missing changes.
+TEST_CASE_FIXTURE(WatchOverLink, "a watch of a compacted revision is canceled with the compact revision") {
+  CHECK(holds<Completed>(call(put("1"))));
   server.with([](auto& model) { model.compact(); });
   REQUIRE(open(1));
-  CHECK(hear(1) == std::vector<std::string>{"compacted 1"});
+  CHECK(read_values(1) == std::vector<std::string>{"compacted 1"});
 }
 
 }  // namespace
