--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -1,10 +1,11 @@
-// fleet propose, status, halt, resume: what staff ask the owner of the fleet's work for, through the store.
+// Commands `fleet propose`, `status`, `halt`, `resume`: requests of staff to the fleet's leader, through the
+// store.
 #include <iostream>
 #include <memory>
 
 #include "base/json.h"
 #include "cli/commands.h"
-#include "migration/mover.h"
+#include "migration/migration_task.h"
 #include "migration/status.h"
 #include "net/clock.h"
 #include "operator/operator_file.h"
@@ -13,77 +14,78 @@
 namespace yokestream::cli {
 namespace {
 
-constexpr auto kAskWithin = std::chrono::seconds(5);
+constexpr auto kCallTimeout = std::chrono::seconds(5);
 
-// The store, as one command meets it: every address is tried.
-class Desk {
+// Access of one command to the store: tries every endpoint. Throws config::ConfigError where none replies.
+class StaffClient {
  public:
-  explicit Desk(const config::Config& config) : config_(config), names_(config.fleet.key_prefix) {
+  explicit StaffClient(const config::Config& config) : config_(config), keys_(config.fleet.key_prefix) {
     if (!config.fleet.on) throw config::ConfigError("fleet.on", "the fleet shares no store");
   }
-  const coordination::StoreKeys& names() const { return names_; }
+  const coordination::StoreKeys& keys() const { return keys_; }
 
-  store::Completed ask(const store::Request& request) {
-    std::string why;
+  store::Completed call(const store::Request& request) {
+    std::string cause;
     for (const auto& address : config_.fleet.store_endpoints) {
-      store::Client client({address}, 0, std::chrono::milliseconds(1));
-      const auto reply = client.call(request, net::now() + kAskWithin);
-      if (const auto* done = std::get_if<store::Completed>(&reply)) return *done;
+      store::Client store_client({address}, 0, std::chrono::milliseconds(1));
+      const auto reply = store_client.call(request, net::now() + kCallTimeout);
+      if (const auto* completed = std::get_if<store::Completed>(&reply)) return *completed;
       const auto* failed = std::get_if<store::Failed>(&reply);
-      why =
+      cause =
           to_string(address) + ": " + (failed ? failed->cause : std::get<store::OutcomeUnknown>(reply).cause);
     }
-    throw config::ConfigError("fleet.store", why);
+    throw config::ConfigError("fleet.store", cause);
   }
-  std::map<std::string, std::string> all(const std::string& prefix) {
+  std::map<std::string, std::string> read_all(const std::string& prefix) {
     std::map<std::string, std::string> out;
-    const auto done = ask(store::Range{prefix, store::prefix_range_end(prefix), 0});
-    for (const auto& kv : done.ranges.empty() ? std::vector<store::KeyValue>{} : done.ranges[0].key_values)
+    const auto completed = call(store::Range{prefix, store::prefix_range_end(prefix), 0});
+    for (const auto& kv :
+         completed.ranges.empty() ? std::vector<store::KeyValue>{} : completed.ranges[0].key_values)
       out[kv.key.substr(prefix.size())] = kv.value;
     return out;
   }
-  // Written once, however often the command is given: one whose answer was lost is found there, as long as
-  // the owner has not answered it.
-  bool put_new(const std::string& what, const std::string& text) {
-    const std::string key = names_.staff_requests() + what;
-    const auto done = ask(store::Txn{{{store::Compare::Target::create_revision, key, 0, {}}},
-                                     {store::Put{key, text, store::LeaseId::none}},
-                                     {store::Range{key, {}, 0}}});
-    return done.succeeded || (!done.ranges.empty() && !done.ranges[0].key_values.empty() &&
-                              done.ranges[0].key_values[0].value == text);
+  // Idempotent: repeating a command whose reply was lost finds its request in the store, until the leader has
+  // answered it. False: another request of this name is pending.
+  bool submit_request(const std::string& request_name, const std::string& text) {
+    const std::string key = keys_.staff_requests() + request_name;
+    const auto completed = call(store::Txn{{{store::Compare::Target::create_revision, key, 0, {}}},
+                                           {store::Put{key, text, store::LeaseId::none}},
+                                           {store::Range{key, {}, 0}}});
+    return completed.succeeded || (!completed.ranges.empty() && !completed.ranges[0].key_values.empty() &&
+                                   completed.ranges[0].key_values[0].value == text);
   }
   migration::MigrationRecord record() {
-    const std::string key = names_.task_state(migration::MigrationTask::kName);
-    const auto done = ask(store::Range{key, {}, 0});
-    if (done.ranges.empty() || done.ranges[0].key_values.empty()) return {};
-    auto record = migration::decode_record(done.ranges[0].key_values[0].value);
+    const std::string key = keys_.task_state(migration::MigrationTask::kName);
+    const auto completed = call(store::Range{key, {}, 0});
+    if (completed.ranges.empty() || completed.ranges[0].key_values.empty()) return {};
+    auto record = migration::decode_record(completed.ranges[0].key_values[0].value);
     if (!record) throw config::ConfigError(key, "it can't be read");
     return *record;
   }
 
  private:
   const config::Config& config_;
-  const coordination::StoreKeys names_;
+  const coordination::StoreKeys keys_;
 };
 
 int propose(const Files& files, const std::string& path) {
-  const auto both = operator_file::read_both(files.config, files.operators);
-  const Json::Value told = config::parse_json(path, operator_file::evaluate(path));
+  const auto loaded = operator_file::read_both(files.config, files.operators);
+  const Json::Value value = config::parse_json(path, operator_file::evaluate(path));
   std::vector<std::string> problems;
-  const auto plan = migration::read_plan(told, problems);
+  const auto plan = migration::read_plan(value, problems);
   std::vector<config::Member> engines;
-  for (const auto& event : both.config.known)
+  for (const auto& event : loaded.config.known)
     engines.insert(engines.end(), event.members.begin(), event.members.end());
-  if (plan) migration::check_against(*plan, both.config.fleet.movable_areas, engines, problems);
+  if (plan) migration::check_against(*plan, loaded.config.fleet.movable_areas, engines, problems);
   if (!problems.empty()) {
-    std::string all = path + ":";
-    for (const auto& problem : problems) all += "\n  " + problem;
-    std::cerr << all << std::endl;
+    std::string message = path + ":";
+    for (const auto& problem : problems) message += "\n  " + problem;
+    std::cerr << message << std::endl;
     return 1;
   }
-  Desk desk(both.config);
-  if (!desk.put_new(migration::kPlanRequestPrefix + plan->name,
-                    base::write_json(migration::to_json(*plan)))) {
+  StaffClient client(loaded.config);
+  if (!client.submit_request(migration::kPlanRequestPrefix + plan->name,
+                             base::write_json(migration::to_json(*plan)))) {
     std::cerr << "another plan " << plan->name << " waits for an owner's answer" << std::endl;
     return 1;
   }
@@ -91,32 +93,32 @@
   return 0;
 }
 
-int wish(const Files& files, const std::string& name, const std::string& word) {
-  const auto both = operator_file::read_both(files.config, files.operators);
-  Desk desk(both.config);
-  const auto record = desk.record();
+int request_control(const Files& files, const std::string& name, const std::string& argument) {
+  const auto loaded = operator_file::read_both(files.config, files.operators);
+  StaffClient client(loaded.config);
+  const auto record = client.record();
   const bool known = std::any_of(record.plans.begin(), record.plans.end(),
-                                 [&](const auto& running) { return running.plan.name == name; });
+                                 [&](const auto& progress) { return progress.plan.name == name; });
   if (!known) {
     std::cerr << "no plan " << name << " is under way" << std::endl;
     return 1;
   }
-  if (!desk.put_new(migration::kControlRequestPrefix + name, word)) {
+  if (!client.submit_request(migration::kControlRequestPrefix + name, argument)) {
     std::cerr << "another wish for " << name << " waits for an owner's answer" << std::endl;
     return 1;
   }
-  std::cout << "asked to " << word << " " << name << "; see fleet status" << std::endl;
+  std::cout << "asked to " << argument << " " << name << "; see fleet status" << std::endl;
   return 0;
 }
 
-int tell_status(const Files& files) {
-  const auto both = operator_file::read_both(files.config, files.operators);
-  Desk desk(both.config);
-  std::map<std::string, coordination::MemberRecord> living;
-  for (const auto& [session, text] : desk.all(desk.names().member()))
-    living[session] = coordination::decode_member_record(text).value_or(coordination::MemberRecord{});
-  std::cout << migration::status(desk.record(), living, migration::MigrationTask::kName,
-                                 desk.all(desk.names().staff_requests()))
+int print_status(const Files& files) {
+  const auto loaded = operator_file::read_both(files.config, files.operators);
+  StaffClient client(loaded.config);
+  std::map<std::string, coordination::MemberRecord> live_members;
+  for (const auto& [session, text] : client.read_all(client.keys().member()))
+    live_members[session] = coordination::decode_member_record(text).value_or(coordination::MemberRecord{});
+  std::cout << migration::status(client.record(), live_members, migration::MigrationTask::kName,
+                                 client.read_all(client.keys().staff_requests()))
             << std::flush;
   return 0;
 }
@@ -127,22 +129,22 @@
   auto* fleet = app.add_subcommand("fleet", "Staged migrations of areas between origins");
   fleet->require_subcommand(1);
   const auto files = std::make_shared<Files>();
-  const auto word = std::make_shared<std::string>();
-  const auto add = [&](const char* name, const char* about) {
-    auto* command = fleet->add_subcommand(name, about);
+  const auto argument = std::make_shared<std::string>();
+  const auto add = [&](const char* name, const char* description) {
+    auto* command = fleet->add_subcommand(name, description);
     add_files(*command, *files);
     return command;
   };
-  auto* proposes = add("propose", "Check a plan and ask the owner to begin it");
-  proposes->add_option("FILE", *word, "The plan, in Jsonnet")->required();
-  proposes->callback([=, &status] { status = propose(*files, *word); });
+  auto* propose_command = add("propose", "Check a plan and ask the owner to begin it");
+  propose_command->add_option("FILE", *argument, "The plan, in Jsonnet")->required();
+  propose_command->callback([=, &status] { status = propose(*files, *argument); });
   add("status", "How far plans have come, and what is waited for")->callback([=, &status] {
-    status = tell_status(*files);
+    status = print_status(*files);
   });
-  for (const char* wanted : {"halt", "resume"}) {
-    auto* command = add(wanted, "Ask the owner to halt a plan, or to go on with it");
-    command->add_option("NAME", *word, "The plan's name")->required();
-    command->callback([=, &status] { status = wish(*files, *word, wanted); });
+  for (const char* control_word : {"halt", "resume"}) {
+    auto* command = add(control_word, "Ask the owner to halt a plan, or to go on with it");
+    command->add_option("NAME", *argument, "The plan's name")->required();
+    command->callback([=, &status] { status = request_control(*files, *argument, control_word); });
   }
 }
 
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -19,8 +19,8 @@
 #include "door/door.h"
 #include "figures/figures.h"
 #include "queues/queues.h"
-#include "routing/routes.h"
-#include "routing/tally.h"
+#include "routing/outcome_tally.h"
+#include "routing/router.h"
 #include "snapshot/learned_state_codec.h"
 #include "yokestream/policy/admission_controller.h"
 
--- a/src/migration/admit.cpp
+++ b/src/migration/admit_plan.cpp
@@ -1,16 +1,16 @@
-// Whether a plan that staff propose can begin now: it is written down, or turned down with the reason.
+// Decides whether a proposed plan can begin now: it is added to the record, or rejected with the reason.
 #include <algorithm>
 
 #include "base/json.h"
-#include "migration/mover.h"
+#include "migration/migration_task.h"
 
 namespace yokestream::migration {
 
 std::string admit_plan(MigrationRecord& record, const std::string& name, const std::string& text) {
-  const auto told = base::read_json(text, store::kMaxValueBytes);
-  if (!told) return "it can't be read";
+  const auto value = base::read_json(text, store::kMaxValueBytes);
+  if (!value) return "it can't be read";
   std::vector<std::string> problems;
-  const auto plan = read_plan(*told, problems);
+  const auto plan = read_plan(*value, problems);
   if (!plan) return problems.front();
   if (plan->name != name) return "it is of another name";
   if (record.plans.size() >= kMaxPlans) return std::to_string(kMaxPlans) + " plans are under way";
--- a/src/migration/check_plan.cpp
+++ b/src/migration/check_plan.cpp
@@ -1,4 +1,4 @@
-// Whether a plan makes sense: as a whole, and at one installation.
+// Checks a plan: its parts against each other, and against one installation.
 #include <algorithm>
 
 #include "migration/plan.h"
@@ -7,7 +7,7 @@
 
 using Problems = std::vector<std::string>;
 
-// What the parts say of each other: origins that there are, areas once, stages that grow, an order that ends.
+// Origins exist, each area moves once, stages grow, prerequisites have no cycle.
 void check_plan(const Plan& plan, Problems& problems) {
   if (plan.moves.empty()) problems.push_back("moves: none");
   if (plan.stages.empty()) problems.push_back("stages: none");
@@ -24,7 +24,7 @@
     for (std::size_t j = 0; j < plan.moves[i].after.size(); ++j)
       if (!at.count(plan.moves[i].after[j]))
         problems.push_back(item(item("moves", i) + ".after", j) + ": an area that this plan does not move");
-  // Areas whose `after` are all placed are placed, until none is left; what can't be placed waits for itself.
+  // Topological order: an area is placed once all its prerequisites are; what remains is on a cycle.
   std::map<TableGroupId, bool> placed;
   for (bool moved = true; moved;) {
     moved = false;
--- a/src/migration/tally.h
+++ b/src/migration/outcome_gate.h
@@ -1,4 +1,4 @@
-// Whether the new side of what moves does as well as the one left behind, by what all edges counted.
+// Compares the outcomes of a migration's new side with those of its old side, as all members counted them.
 //
 // Pure values; any thread. Memory: eight numbers a plan.
 #pragma once
@@ -8,22 +8,22 @@
 #include <vector>
 
 #include "migration/plan.h"
-#include "routing/tally.h"
+#include "routing/outcome_tally.h"
 
 namespace yokestream::migration {
 
 using routing::OutcomeTallies;
 using routing::OutcomeTally;
 
-// Both sides of a plan as the numbers that a fact carries, and their sums.
-std::vector<std::int64_t> numbers(const OutcomeTally& left, const OutcomeTally& taken);
-void add(std::vector<std::int64_t>& sum, const std::vector<std::int64_t>& more, int sign);
+// Both sides of a plan as the numbers of a MemberRecord, old side first, and their sums.
+std::vector<std::int64_t> numbers(const OutcomeTally& old_side, const OutcomeTally& new_side);
+void add(std::vector<std::int64_t>& sum, const std::vector<std::int64_t>& addend, int sign);
 
 struct Verdict {
   enum class Result { good, too_few, bad } result = Result::good;
   std::string cause;
 };
-// `span`: the numbers of one span. `back`: on the way back the sides change places.
-Verdict judge(const Gate& gate, const std::vector<std::int64_t>& span, bool back);
+// `span`: the numbers counted in one span. In a rollback the sides are exchanged.
+Verdict judge(const Gate& gate, const std::vector<std::int64_t>& span, bool rolling_back);
 
 }  // namespace yokestream::migration
--- a/src/migration/plan.h
+++ b/src/migration/plan.h
@@ -1,7 +1,7 @@
 // A plan: which areas move from one origin to another, in which order and by which stages.
 //
-// Read from the JSON that the plan's Jsonnet file becomes, and checked as a whole: every problem is named
-// with its path. Pure values; any thread. Bounded: kMostMoves, kMostStages, kMostOrigins a plan.
+// Read from the JSON that the plan's Jsonnet file evaluates to, and checked as a whole: every problem is
+// reported with its path. Pure values; any thread. Bounded by kMaxMoves, kMaxStages and kMaxOrigins.
 #pragma once
 
 #include <json/json.h>
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "routing/routes.h"
+#include "routing/router.h"
 
 namespace yokestream::migration {
 
@@ -26,19 +26,19 @@
 struct Move {
   TableGroupId area{};
   std::string from, to;             // origins
-  std::vector<TableGroupId> after;  // of this plan: wholly there before this one begins
+  std::vector<TableGroupId> after;  // prerequisites in this plan: moved completely before this one begins
   bool operator==(const Move&) const = default;
 };
 struct Stage {
-  double edge_share = 1,
-         traffic_share = 1;  // shares, above 0 and at most 1: of the edges, and of what these move
-  Duration min_duration{};   // it lasts at least so long
+  double edge_share = 1;     // ratio of the edges, above 0 and at most 1
+  double traffic_share = 1;  // ratio of the traffic that these edges move, above 0 and at most 1
+  Duration min_duration{};
   bool operator==(const Stage&) const = default;
 };
-// What a stage must show, the new side beside the one left behind over the same span.
+// What the new side must show at each stage, compared with the old side over the same span.
 struct Gate {
-  double max_served_drop = 0.02;   // the share served may be lower by so much
-  double max_slowdown = 1.5;       // time taken over time predicted may be so many times the old side's
+  double max_served_drop = 0.02;  // difference of the ratios of served requests
+  double max_slowdown = 1.5;  // ratio of the slowdowns, new over old; slowdown: elapsed over estimated time
   std::int64_t min_outcomes = 50;  // on each side at least
   bool operator==(const Gate&) const = default;
 };
@@ -48,24 +48,24 @@
   Origins origins;
   std::vector<Move> moves;
   std::vector<Stage> stages;  // the last one is all of the edges and all of the traffic
-  std::optional<Gate> gate;   // none: stages end by their time alone
+  std::optional<Gate> gate;   // none: stages end by their duration alone
   OnFail on_fail = OnFail::hold;
   bool operator==(const Plan&) const = default;
 };
 
-// nullopt, and one line a problem, each with its path.
-std::optional<Plan> read_plan(const Json::Value& told, std::vector<std::string>& problems);
+// nullopt: invalid; `problems` then has one line for each, with its path.
+std::optional<Plan> read_plan(const Json::Value& value, std::vector<std::string>& problems);
 Json::Value to_json(const Plan& plan);
-routing::Origin read_origin(const Json::Value& told, const std::string& path,
+routing::Origin read_origin(const Json::Value& value, const std::string& path,
                             std::vector<std::string>& problems);
 Json::Value to_json(const routing::Origin& origin);
 
 inline std::string item(const std::string& path, std::size_t i) {
   return path + "[" + std::to_string(i) + "]";
 }
-// What its parts say of each other; read_plan() has done this.
+// Checks the parts against each other; called by read_plan().
 void check_plan(const Plan& plan, std::vector<std::string>& problems);
-// What only an installation knows: areas that may move there, and its engines.
+// Checks against one installation: the areas that may move there, and its engines.
 void check_against(const Plan& plan, const std::vector<TableGroupId>& movable,
                    const std::vector<config::Member>& engines, std::vector<std::string>& problems);
 
--- a/src/migration/read_plan.cpp
+++ b/src/migration/read_plan.cpp
@@ -1,4 +1,6 @@
-// Plans as JSON, both ways.
+// Plans from JSON and to JSON. Words of the file: `edges` is edge_share, `traffic` traffic_share, `hold_ms`
+// min_duration, `served` max_served_drop, `slower` max_slowdown, `outcomes` min_outcomes, `on_fail: back`
+// OnFail::roll_back, `groups` an origin's cells.
 #include <algorithm>
 #include <chrono>
 
@@ -9,7 +11,7 @@
 
 using Problems = std::vector<std::string>;
 
-// One object, key by key; what is left over at its end is unknown.
+// Reads one object key by key, and reports what is left over as unknown.
 class Fields {
  public:
   Fields(const Json::Value& value, std::string path, Problems& problems)
@@ -17,7 +19,7 @@
     if (!value.isObject()) fail("", "not an object");
   }
   const Json::Value& at(const std::string& key) {
-    asked_.push_back(key);
+    known_keys_.push_back(key);
     return value_.isObject() ? value_[key] : Json::Value::nullSingleton();
   }
   std::string path(const std::string& key) const {
@@ -33,41 +35,43 @@
       fail(key, "not a name of 1 to 32 letters, digits, '-' and '_'");
     return text;
   }
-  double number(const std::string& key, double when_absent, double least, double most) {
+  double number(const std::string& key, double default_value, double min, double max) {
     const Json::Value& v = at(key);
-    if (v.isNull()) return when_absent;
-    if (!v.isNumeric() || !(v.asDouble() >= least && v.asDouble() <= most)) {
+    if (v.isNull()) return default_value;
+    if (!v.isNumeric() || !(v.asDouble() >= min && v.asDouble() <= max)) {
       fail(key, "not a number in its bounds");
-      return when_absent;
+      return default_value;
     }
     return v.asDouble();
   }
-  const Json::Value& list(const std::string& key, std::size_t most) {
+  const Json::Value& list(const std::string& key, std::size_t max) {
     const Json::Value& v = at(key);
-    if (v.isNull() || (v.isArray() && v.size() <= most)) return v;
-    fail(key, "not a list of at most " + std::to_string(most));
+    if (v.isNull() || (v.isArray() && v.size() <= max)) return v;
+    fail(key, "not a list of at most " + std::to_string(max));
     return Json::Value::nullSingleton();
   }
-  void done() {
+  void reject_unknown_keys() {
     if (!value_.isObject()) return;
     for (const auto& key : value_.getMemberNames())
-      if (std::find(asked_.begin(), asked_.end(), key) == asked_.end()) fail(key, "unknown key");
+      if (std::find(known_keys_.begin(), known_keys_.end(), key) == known_keys_.end())
+        fail(key, "unknown key");
   }
 
  private:
   const Json::Value& value_;
   const std::string path_;
   Problems& problems_;
-  std::vector<std::string> asked_;
+  std::vector<std::string> known_keys_;
 };
 
-std::optional<std::uint64_t> whole(const Json::Value& v, const std::string& path, Problems& problems) {
+std::optional<std::uint64_t> read_unsigned(const Json::Value& v, const std::string& path,
+                                           Problems& problems) {
   if (v.isUInt64()) return v.asUInt64();
   problems.push_back(path + ": not a whole number");
   return std::nullopt;
 }
 
-std::vector<std::string> words(Fields& fields, const std::string& key, Problems& problems) {
+std::vector<std::string> read_names(Fields& fields, const std::string& key, Problems& problems) {
   std::vector<std::string> out;
   const Json::Value& list = fields.list(key, 1024);
   for (Json::ArrayIndex i = 0; i < list.size(); ++i) {
@@ -79,59 +83,61 @@
   return out;
 }
 
-Move read_move(const Json::Value& told, const std::string& path, Problems& problems) {
-  Fields fields(told, path, problems);
+Move read_move(const Json::Value& value, const std::string& path, Problems& problems) {
+  Fields fields(value, path, problems);
   Move move;
-  if (const auto area = whole(fields.at("area"), path + ".area", problems)) move.area = TableGroupId{*area};
+  if (const auto area = read_unsigned(fields.at("area"), path + ".area", problems))
+    move.area = TableGroupId{*area};
   move.from = fields.name("from");
   move.to = fields.name("to");
   const Json::Value& after = fields.list("after", kMaxPrerequisites);
   for (Json::ArrayIndex i = 0; i < after.size(); ++i)
-    if (const auto area = whole(after[i], item(path + ".after", i), problems))
+    if (const auto area = read_unsigned(after[i], item(path + ".after", i), problems))
       move.after.push_back(TableGroupId{*area});
-  fields.done();
+  fields.reject_unknown_keys();
   return move;
 }
 
-Stage read_stage(const Json::Value& told, const std::string& path, Problems& problems) {
-  Fields fields(told, path, problems);
+Stage read_stage(const Json::Value& value, const std::string& path, Problems& problems) {
+  Fields fields(value, path, problems);
   Stage stage;
   stage.edge_share = fields.number("edges", 1, 1e-4, 1);
   stage.traffic_share = fields.number("traffic", 1, 1e-4, 1);
   stage.min_duration =
       std::chrono::milliseconds(static_cast<std::int64_t>(fields.number("hold_ms", 10'000, 0, 6e8)));
-  fields.done();
+  fields.reject_unknown_keys();
   return stage;
 }
 
-Gate read_gate(const Json::Value& told, const std::string& path, Problems& problems) {
-  Fields fields(told, path, problems);
+Gate read_gate(const Json::Value& value, const std::string& path, Problems& problems) {
+  Fields fields(value, path, problems);
   Gate gate;
   gate.max_served_drop = fields.number("served", gate.max_served_drop, 0, 1);
   gate.max_slowdown = fields.number("slower", gate.max_slowdown, 1, 1000);
   gate.min_outcomes = static_cast<std::int64_t>(fields.number("outcomes", 50, 1, 1e9));
-  fields.done();
+  fields.reject_unknown_keys();
   return gate;
 }
 
-Json::Value to_json(const std::vector<std::string>& all) {
+Json::Value to_json(const std::vector<std::string>& names) {
   Json::Value out(Json::arrayValue);
-  for (const auto& word : all) out.append(word);
+  for (const auto& word : names) out.append(word);
   return out;
 }
 
 }  // namespace
 
-routing::Origin read_origin(const Json::Value& told, const std::string& path, Problems& problems) {
-  Fields fields(told, path, problems);
+routing::Origin read_origin(const Json::Value& value, const std::string& path, Problems& problems) {
+  Fields fields(value, path, problems);
   routing::Origin origin;
-  origin.zones = words(fields, "zones", problems);
-  origin.kinds = words(fields, "kinds", problems);
-  origin.uids = words(fields, "uids", problems);
+  origin.zones = read_names(fields, "zones", problems);
+  origin.kinds = read_names(fields, "kinds", problems);
+  origin.uids = read_names(fields, "uids", problems);
   const Json::Value& cells = fields.list("groups", 1024);
   for (Json::ArrayIndex i = 0; i < cells.size(); ++i)
-    if (const auto cell = whole(cells[i], item(path + ".groups", i), problems)) origin.cells.push_back(*cell);
-  fields.done();
+    if (const auto cell = read_unsigned(cells[i], item(path + ".groups", i), problems))
+      origin.cells.push_back(*cell);
+  fields.reject_unknown_keys();
   return origin;
 }
 
@@ -144,9 +150,9 @@
   return out;
 }
 
-std::optional<Plan> read_plan(const Json::Value& told, Problems& problems) {
+std::optional<Plan> read_plan(const Json::Value& value, Problems& problems) {
   const std::size_t before = problems.size();
-  Fields fields(told, "", problems);
+  Fields fields(value, "", problems);
   Plan plan;
   plan.name = fields.name("name");
   const Json::Value& origins = fields.at("origins");
@@ -169,7 +175,7 @@
     plan.on_fail = OnFail::roll_back;
   else if (!on_fail.isNull() && on_fail != "hold")
     fields.fail("on_fail", "neither hold nor back");
-  fields.done();
+  fields.reject_unknown_keys();
   if (problems.size() == before) check_plan(plan, problems);
   return problems.size() == before ? std::optional(plan) : std::nullopt;
 }
@@ -182,19 +188,22 @@
   for (const Move& move : plan.moves) {
     Json::Value m;
     m["area"] = Json::UInt64(move.area);
-    m["from"] = move.from, m["to"] = move.to;
+    m["from"] = move.from;
+    m["to"] = move.to;
     for (const auto area : move.after) m["after"].append(Json::UInt64(area));
     out["moves"].append(m);
   }
   for (const Stage& stage : plan.stages) {
     Json::Value s;
-    s["edges"] = stage.edge_share, s["traffic"] = stage.traffic_share;
+    s["edges"] = stage.edge_share;
+    s["traffic"] = stage.traffic_share;
     s["hold_ms"] =
         Json::Int64(std::chrono::duration_cast<std::chrono::milliseconds>(stage.min_duration).count());
     out["stages"].append(s);
   }
   if (plan.gate) {
-    out["gate"]["served"] = plan.gate->max_served_drop, out["gate"]["slower"] = plan.gate->max_slowdown;
+    out["gate"]["served"] = plan.gate->max_served_drop;
+    out["gate"]["slower"] = plan.gate->max_slowdown;
     out["gate"]["outcomes"] = Json::Int64(plan.gate->min_outcomes);
   }
   out["on_fail"] = plan.on_fail == OnFail::roll_back ? "back" : "hold";
--- a/src/migration/record.cpp
+++ b/src/migration/record.cpp
@@ -1,3 +1,6 @@
+// Encodes and decodes the migration record, and derives routing tables from it.
+//
+// Words of the stored form: `term` is the fencing token, `ended` outcomes, `back` rolling_back, `why` cause.
 #include "migration/record.h"
 
 #include <xxhash.h>
@@ -10,7 +13,7 @@
 namespace yokestream::migration {
 namespace {
 
-constexpr int kForm = 1;
+constexpr int kFormVersion = 1;
 
 bool all_strings(const Json::Value& v) {
   return v.isNull() ||
@@ -21,13 +24,13 @@
   for (const auto& name : v.getMemberNames()) out[name] = v[name].asString();
   return out;
 }
-Json::Value to_json(const std::map<std::string, std::string>& all) {
+Json::Value to_json(const std::map<std::string, std::string>& names) {
   Json::Value out(Json::objectValue);
-  for (const auto& [name, text] : all) out[name] = text;
+  for (const auto& [name, text] : names) out[name] = text;
   return out;
 }
 
-std::optional<PlanProgress> read_running(const Json::Value& v) {
+std::optional<PlanProgress> read_progress(const Json::Value& v) {
   std::vector<std::string> problems;
   if (!v.isObject()) return std::nullopt;
   const auto plan = read_plan(v["plan"], problems);
@@ -42,15 +45,15 @@
   return out;
 }
 
-std::optional<TableGroupId> area_of(const std::string& text) {
+std::optional<TableGroupId> parse_area(const std::string& text) {
   if (text.empty() || text.size() > 19 || text.find_first_not_of("0123456789") != std::string::npos)
     return std::nullopt;
   return TableGroupId{std::stoull(text)};
 }
 
-// How many edges are ahead of this one, which is in the roster. By name, so that a manager that is started
-// again stays where it was; the order differs from plan to plan.
-std::size_t place_of(const MigrationRecord& record, const std::string& session, const std::string& plan) {
+// Position of this member, which is in the roster, in the plan's order. By name, so that a restarted manager
+// keeps its position; the order differs from plan to plan.
+std::size_t rank_of(const MigrationRecord& record, const std::string& session, const std::string& plan) {
   const auto rank = [&](const std::string& name) {
     const std::string text = plan + "/" + name;
     return std::pair(XXH3_64bits(text.data(), text.size()), name);
@@ -59,30 +62,33 @@
   return static_cast<std::size_t>(std::count_if(record.roster.begin(), record.roster.end(),
                                                 [&](const auto& other) { return rank(other.second) < own; }));
 }
-bool first(std::size_t place, const MigrationRecord& record, double share) {
-  return static_cast<double>(place) < std::ceil(share * static_cast<double>(record.roster.size()) - 1e-9);
+bool is_among_first(std::size_t rank, const MigrationRecord& record, double share) {
+  return static_cast<double>(rank) < std::ceil(share * static_cast<double>(record.roster.size()) - 1e-9);
 }
 
 }  // namespace
 
 std::string encode(const MigrationRecord& record) {
   Json::Value out;
-  out["form"] = kForm;
+  out["form"] = kFormVersion;
   out["epoch"] = Json::Int64(record.epoch);
   out["term"] = Json::Int64(record.fencing_token);
   out["roster"] = to_json(record.roster);
   out["homes"] = Json::objectValue;
   for (const auto& [area, home] : record.homes) {
-    auto& told = out["homes"][std::to_string(static_cast<std::uint64_t>(area))];
-    told["name"] = home.name, told["origin"] = migration::to_json(home.origin);
+    auto& value = out["homes"][std::to_string(static_cast<std::uint64_t>(area))];
+    value["name"] = home.name;
+    value["origin"] = migration::to_json(home.origin);
   }
   out["plans"] = Json::arrayValue;
-  for (const PlanProgress& running : record.plans) {
-    Json::Value told;
-    told["plan"] = migration::to_json(running.plan);
-    for (const auto step : running.steps) told["steps"].append(Json::UInt(step));
-    told["back"] = running.rolling_back, told["halted"] = running.halted, told["why"] = running.cause;
-    out["plans"].append(told);
+  for (const PlanProgress& progress : record.plans) {
+    Json::Value value;
+    value["plan"] = migration::to_json(progress.plan);
+    for (const auto step : progress.steps) value["steps"].append(Json::UInt(step));
+    value["back"] = progress.rolling_back;
+    value["halted"] = progress.halted;
+    value["why"] = progress.cause;
+    out["plans"].append(value);
   }
   out["ended"] = to_json(record.outcomes);
   return base::write_json(out);
@@ -90,9 +96,9 @@
 
 std::optional<MigrationRecord> decode_record(std::string_view text) {
   const auto v = base::read_json(text, store::kMaxValueBytes);
-  if (!v || !v->isObject() || (*v)["form"] != kForm || !(*v)["epoch"].isInt64() || !(*v)["term"].isInt64() ||
-      !all_strings((*v)["roster"]) || !all_strings((*v)["ended"]) || !(*v)["homes"].isObject() ||
-      !(*v)["plans"].isArray() || (*v)["plans"].size() > kMaxPlans)
+  if (!v || !v->isObject() || (*v)["form"] != kFormVersion || !(*v)["epoch"].isInt64() ||
+      !(*v)["term"].isInt64() || !all_strings((*v)["roster"]) || !all_strings((*v)["ended"]) ||
+      !(*v)["homes"].isObject() || !(*v)["plans"].isArray() || (*v)["plans"].size() > kMaxPlans)
     return std::nullopt;
   MigrationRecord out;
   out.epoch = (*v)["epoch"].asInt64();
@@ -102,21 +108,21 @@
   std::vector<std::string> problems;
   for (const auto& name : (*v)["homes"].getMemberNames()) {
     const auto& home = (*v)["homes"][name];
-    const auto area = area_of(name);
+    const auto area = parse_area(name);
     if (!area || !home.isObject() || !home["name"].isString()) return std::nullopt;
     out.homes[*area] = {home["name"].asString(), read_origin(home["origin"], "", problems)};
   }
-  for (const auto& told : (*v)["plans"]) {
-    auto running = read_running(told);
-    if (!running) return std::nullopt;
-    out.plans.push_back(std::move(*running));
+  for (const auto& value : (*v)["plans"]) {
+    auto progress = read_progress(value);
+    if (!progress) return std::nullopt;
+    out.plans.push_back(std::move(*progress));
   }
   return problems.empty() && out.epoch >= 0 ? std::optional(std::move(out)) : std::nullopt;
 }
 
 bool among_first(const MigrationRecord& record, const std::string& session, const std::string& plan,
                  double share) {
-  return record.roster.count(session) && first(place_of(record, session, plan), record, share);
+  return record.roster.count(session) && is_among_first(rank_of(record, session, plan), record, share);
 }
 
 std::optional<routing::RouteTable> table_of(const MigrationRecord& record, const std::string& session) {
@@ -127,24 +133,26 @@
     out.rules[area] = {out.origins.size(), out.origins.size(), 0, routing::Rule::Loads::from};
     out.origins.push_back(home.origin);
   }
-  for (const PlanProgress& running : record.plans) {
-    const std::size_t place = place_of(record, session, running.plan.name);
+  for (const PlanProgress& progress : record.plans) {
+    const std::size_t rank = rank_of(record, session, progress.plan.name);
     std::vector<std::uint32_t> moved;  // by stage
-    for (const Stage& stage : running.plan.stages)
+    for (const Stage& stage : progress.plan.stages)
       moved.push_back(
-          first(place, record, stage.edge_share)
+          is_among_first(rank, record, stage.edge_share)
               ? static_cast<std::uint32_t>(std::lround(stage.traffic_share * routing::Rule::kAllRequests))
               : 0);
     std::map<std::string, std::size_t> at;
-    for (const auto& [name, origin] : running.plan.origins)
-      at[name] = out.origins.size(), out.origins.push_back(origin);
-    for (std::size_t i = 0; i < running.steps.size(); ++i) {
-      const Move& move = running.plan.moves[i];
-      const std::size_t step = running.steps[i];
+    for (const auto& [name, origin] : progress.plan.origins) {
+      at[name] = out.origins.size();
+      out.origins.push_back(origin);
+    }
+    for (std::size_t i = 0; i < progress.steps.size(); ++i) {
+      const Move& move = progress.plan.moves[i];
+      const std::size_t step = progress.steps[i];
       routing::Rule rule{at[move.from], at[move.to], 0, routing::Rule::Loads::from};
-      if (step > running.plan.stages.size()) {
+      if (step > progress.plan.stages.size()) {
         rule.moved_requests = routing::Rule::kAllRequests;
-        rule.loads = step == running.done_step() ? routing::Rule::Loads::to : routing::Rule::Loads::nowhere;
+        rule.loads = step == progress.done_step() ? routing::Rule::Loads::to : routing::Rule::Loads::nowhere;
       } else if (step > 0) {
         rule.moved_requests = moved[step - 1];
       }
--- a/src/migration/record.h
+++ b/src/migration/record.h
@@ -1,8 +1,8 @@
-// What stands in the store of all migrations: who acts on it, where areas are at home, and how far plans have
-// come.
+// The stored state of all migrations: the members that act on it, the homes of moved areas, and the progress
+// of each plan.
 //
-// One record for all, so that plans which touch one area exclude each other, and one transaction moves them.
-// Pure values; any thread. Bounded by store::kMostValue as JSON.
+// One record for all plans, so that plans with a common area exclude each other and one transaction updates
+// all. Pure values; any thread. Bounded by store::kMaxValueBytes as JSON.
 #pragma once
 
 #include <map>
@@ -16,13 +16,13 @@
 
 namespace yokestream::migration {
 
-// A move's step: 0 waiting, 1 ... n its stages, then its loads stopped, then done.
+// Steps of a move: 0 waiting, 1 ... n its stages, n + 1 loads stopped, n + 2 done (migration_task.h).
 struct PlanProgress {
   Plan plan;
   std::vector<std::size_t> steps;  // by move
-  bool rolling_back = false;       // the way back
+  bool rolling_back = false;
   bool halted = false;
-  std::string cause;  // halted, or on its way back
+  std::string cause;  // why it is halted or rolling back
   std::size_t loads_stopped_step() const { return plan.stages.size() + 1; }
   std::size_t done_step() const { return plan.stages.size() + 2; }
   bool operator==(const PlanProgress&) const = default;
@@ -34,27 +34,26 @@
 };
 struct MigrationRecord {
   std::int64_t epoch = -1;
-  store::Revision fencing_token = 0;          // of the owner that wrote it (S1)
-  std::map<std::string, std::string> roster;  // who may act on it: the manager's name, by session
+  store::Revision fencing_token = 0;          // of the leader that wrote it (S1)
+  std::map<std::string, std::string> roster;  // the members that may act on it: manager name by session
   std::map<TableGroupId, Home> homes;         // of areas that have moved
   std::vector<PlanProgress> plans;
-  std::map<std::string, std::string> outcomes;  // what became of plans that are over, kMostEnded at most
+  std::map<std::string, std::string> outcomes;  // of finished plans, by name; kMaxOutcomes at most
   bool operator==(const MigrationRecord&) const = default;
 };
 
 inline constexpr std::size_t kMaxPlans = 8, kMaxOutcomes = 16;
 
-// What staff ask the owner for, as its key's end (duty/names.h): a plan's text, or `halt` or `resume` for
-// one.
+// Prefixes of staff requests (coordination/store_keys.h): a plan's text, or `halt` or `resume` for a plan.
 inline constexpr const char* kPlanRequestPrefix = "plan/";
 inline constexpr const char* kControlRequestPrefix = "wish/";
 
 std::string encode(const MigrationRecord& record);
-std::optional<MigrationRecord> decode_record(std::string_view text);  // nullopt: it makes no sense
+std::optional<MigrationRecord> decode_record(std::string_view text);  // nullopt: malformed
 
-// What an edge acts on: nullopt, it is not in the roster. `session`: its own.
+// The routing table of the member with this session; nullopt: it is not in the roster.
 std::optional<routing::RouteTable> table_of(const MigrationRecord& record, const std::string& session);
-// Whether this edge is among those that a stage moves: in an order of the plan's own, by name.
+// Whether this member is in the first `share` (a ratio) of the roster, in an order by plan and name.
 bool among_first(const MigrationRecord& record, const std::string& session, const std::string& plan,
                  double share);
 
--- a/src/migration/status.cpp
+++ b/src/migration/status.cpp
@@ -2,37 +2,37 @@
 
 #include <cstdio>
 
-#include "migration/tally.h"
+#include "migration/outcome_gate.h"
 
 namespace yokestream::migration {
 namespace {
 
-std::string number(TableGroupId area) { return std::to_string(static_cast<std::uint64_t>(area)); }
+std::string area_text(TableGroupId area) { return std::to_string(static_cast<std::uint64_t>(area)); }
 
-std::string word(const PlanProgress& running, std::size_t step) {
-  const std::size_t n = running.plan.stages.size();
+std::string step_text(const PlanProgress& progress, std::size_t step) {
+  const std::size_t n = progress.plan.stages.size();
   if (step == 0) return "at its old side";
   if (step <= n) return "stage " + std::to_string(step) + " of " + std::to_string(n);
-  return step == running.done_step() ? "there" : "loads stopped";
+  return step == progress.done_step() ? "there" : "loads stopped";
 }
 
-std::string waits(const PlanProgress& running, std::size_t i) {
+std::string prerequisite_text(const PlanProgress& progress, std::size_t i) {
   std::string out;
-  for (const auto area : running.plan.moves[i].after)
-    for (std::size_t j = 0; j < running.steps.size(); ++j)
-      if (running.plan.moves[j].area == area && running.steps[j] != running.done_step())
-        out += (out.empty() ? ", waits for area " : " ") + number(area);
-  return running.steps[i] == 0 && !running.rolling_back ? out : "";
+  for (const auto area : progress.plan.moves[i].after)
+    for (std::size_t j = 0; j < progress.steps.size(); ++j)
+      if (progress.plan.moves[j].area == area && progress.steps[j] != progress.done_step())
+        out += (out.empty() ? ", waits for area " : " ") + area_text(area);
+  return progress.steps[i] == 0 && !progress.rolling_back ? out : "";
 }
 
-std::string gate(const PlanProgress& running,
-                 const std::map<std::string, coordination::MemberRecord>& living) {
-  if (!running.plan.gate) return "";
+std::string gate_text(const PlanProgress& progress,
+                      const std::map<std::string, coordination::MemberRecord>& live_members) {
+  if (!progress.plan.gate) return "";
   std::vector<std::int64_t> sum;
   add(sum, {}, 1);
-  for (const auto& [session, fact] : living)
-    if (const auto it = fact.tallies.find(running.plan.name); it != fact.tallies.end())
-      add(sum, it->second, 1);
+  for (const auto& [session, member] : live_members)
+    if (const auto entry = member.tallies.find(progress.plan.name); entry != member.tallies.end())
+      add(sum, entry->second, 1);
   char text[160];
   std::snprintf(text, sizeof text,
                 "  gate: %lld of %lld served on the side left behind, %lld of %lld on the new one, since the"
@@ -45,35 +45,36 @@
 }  // namespace
 
 std::string status(const MigrationRecord& record,
-                   const std::map<std::string, coordination::MemberRecord>& living, const std::string& duty,
-                   const std::map<std::string, std::string>& asked) {
+                   const std::map<std::string, coordination::MemberRecord>& live_members,
+                   const std::string& task, const std::map<std::string, std::string>& pending_requests) {
   std::string out = record.epoch < 0 ? "no owner has written anything yet\n"
                                      : "epoch " + std::to_string(record.epoch) + " of term " +
                                            std::to_string(record.fencing_token) + ", " +
                                            std::to_string(record.roster.size()) + " edges\n";
   for (const auto& [session, name] : record.roster) {
-    const auto it = living.find(session);
-    if (it == living.end()) {
+    const auto entry = live_members.find(session);
+    if (entry == live_members.end()) {
       out += "waits for edge " + name + ": its session has ended, what it sent may still run\n";
       continue;
     }
-    const auto seen = it->second.acknowledged_epochs.find(duty);
-    if (seen == it->second.acknowledged_epochs.end() || seen->second < record.epoch)
+    const auto acknowledgement = entry->second.acknowledged_epochs.find(task);
+    if (acknowledgement == entry->second.acknowledged_epochs.end() || acknowledgement->second < record.epoch)
       out += "waits for edge " + name + ": it does not act on this epoch yet\n";
   }
-  for (const PlanProgress& running : record.plans) {
-    out += "plan " + running.plan.name + ": " +
-           (running.halted         ? "halted"
-            : running.rolling_back ? "on its way back"
-                                   : "under way") +
-           (running.cause.empty() ? "" : ": " + running.cause) + "\n";
-    for (std::size_t i = 0; i < running.steps.size(); ++i)
-      out += "  area " + number(running.plan.moves[i].area) + ": " + word(running, running.steps[i]) +
-             waits(running, i) + "\n";
-    out += gate(running, living);
+  for (const PlanProgress& progress : record.plans) {
+    out += "plan " + progress.plan.name + ": " +
+           (progress.halted         ? "halted"
+            : progress.rolling_back ? "on its way back"
+                                    : "under way") +
+           (progress.cause.empty() ? "" : ": " + progress.cause) + "\n";
+    for (std::size_t i = 0; i < progress.steps.size(); ++i)
+      out += "  area " + area_text(progress.plan.moves[i].area) + ": " +
+             step_text(progress, progress.steps[i]) + prerequisite_text(progress, i) + "\n";
+    out += gate_text(progress, live_members);
   }
-  for (const auto& [name, why] : record.outcomes) out += "plan " + name + ": " + why + "\n";
-  for (const auto& [what, text] : asked) out += "asked, not answered by an owner yet: " + what + "\n";
+  for (const auto& [name, outcome] : record.outcomes) out += "plan " + name + ": " + outcome + "\n";
+  for (const auto& [request_name, text] : pending_requests)
+    out += "asked, not answered by an owner yet: " + request_name + "\n";
   return out;
 }
 
--- a/src/migration/status.h
+++ b/src/migration/status.h
@@ -1,4 +1,5 @@
-// What staff are told of migrations: how far each plan has come, and which edge or gate is waited for. Pure.
+// Status report of migrations for staff: the progress of each plan, and the members and gates that it waits
+// for. Pure; any thread.
 #pragma once
 
 #include <map>
@@ -9,10 +10,10 @@
 
 namespace yokestream::migration {
 
-// `living`: facts by session. `duty`: under which name they acknowledge. `asked`: what the owner has not
-// answered yet. Lines, each with its end.
+// `live_members`: by session. `task`: the name under which they acknowledge. `pending_requests`: those that
+// the leader has not answered yet. Lines, each with its newline.
 std::string status(const MigrationRecord& record,
-                   const std::map<std::string, coordination::MemberRecord>& living, const std::string& duty,
-                   const std::map<std::string, std::string>& asked);
+                   const std::map<std::string, coordination::MemberRecord>& live_members,
+                   const std::string& task, const std::map<std::string, std::string>& pending_requests);
 
 }  // namespace yokestream::migration
--- a/src/net/events.h
+++ b/src/net/events.h
@@ -11,7 +11,7 @@
 #include "net/queue.h"
 #include "net/socket.h"
 #include "queues/settings.h"
-#include "routing/routes.h"
+#include "routing/router.h"
 
 namespace yokestream::net {
 
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -11,7 +11,7 @@
 #include "net/engine_link.h"
 #include "net/events.h"
 #include "net/feed_follower.h"
-#include "net/fleet_keeper.h"
+#include "net/coordination_thread.h"
 #include "net/hand_over.h"
 #include "net/listener.h"
 #include "net/management.h"
@@ -87,7 +87,7 @@
   std::optional<Together> together_;              // where processes may share the listener
   std::optional<HandOver> hand_over_;             // the same
   Time next_look_{}, next_hand_over_{};           // at the others; the core's thread only
-  std::optional<FleetKeeper> keeper_;             // where the fleet shares a store
+  std::optional<CoordinationThread> keeper_;             // where the fleet shares a store
   coordination::FleetMember::LoadGrant allowed_;  // the core's thread only, as the next: what it says
   coordination::LoadShare part_ = 0;              // and what the core acts on
   std::int64_t applied_ = -1;                     // the same: the table that says so
--- /dev/null
+++ b/src/routing/outcome_tally.h
@@ -0,0 +1,26 @@
+// Counts outcomes on both sides of migrating areas, of requests that may be repeated and whose outcome was
+// reported to the policy module.
+//
+// Counted from the start of the process, so that a lost report loses nothing. Plain values. Memory: eight
+// numbers an area with a rule.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <utility>
+
+#include "yokestream/policy/admission_controller.h"
+
+namespace yokestream::routing {
+
+struct OutcomeTally {
+  std::int64_t total = 0;
+  std::int64_t served = 0;
+  std::int64_t elapsed_us = 0;    // at the engine, of the served requests
+  std::int64_t estimated_us = 0;  // on an idle engine, of the served requests
+  bool operator==(const OutcomeTally&) const = default;
+};
+// By area: the old side, then the new one.
+using OutcomeTallies = std::map<policy::TableGroupId, std::pair<OutcomeTally, OutcomeTally>>;
+
+}  // namespace yokestream::routing
--- a/src/standin/duty_process.h
+++ b/src/standin/duty_process.h
@@ -3,7 +3,7 @@
 
 #include <array>
 
-#include "migration/mover.h"
+#include "migration/migration_task.h"
 #include "standin/duty_world.h"
 #include "store/endpoint_rotation.h"
 
--- a/src/standin/duty_troubles.cpp
+++ b/src/standin/duty_troubles.cpp
@@ -14,7 +14,7 @@
   p.fleet.reset();  // it uses the mover
   p.mover = std::make_unique<migration::MigrationTask>(settings_.edges.longest, settings_.duty.clock_drift,
                                                        settings_.edges.without);
-  std::vector<coordination::LeaderTask*> duties;  // as in net/fleet_keeper.cpp: where areas may move
+  std::vector<coordination::LeaderTask*> duties;  // as in net/coordination_thread.cpp: where areas may move
   if (settings_.edges.areas > 0) duties.push_back(p.mover.get());
   p.fleet = std::make_unique<FleetMember>(settings_.duty, "n" + std::to_string(at), "1", settings_.processes,
                                           local(p), std::move(duties));
--- a/src/standin/edge.h
+++ b/src/standin/edge.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "migration/mover.h"
+#include "migration/migration_task.h"
 
 namespace yokestream::standin {
 
--- a/tests/node/migration_fixture.h
+++ b/tests/node/migration_fixture.h
@@ -1,9 +1,9 @@
-// What the tests of migrations share: a plan, its JSON, and a fleet on the virtual clock that moves areas.
+// Shared by the tests of migrations: a plan, its JSON, the leader alone, and settings of a simulated fleet.
 #pragma once
 
 #include "base/json.h"
 #include "duty_fixture.h"
-#include "migration/mover.h"
+#include "migration/migration_task.h"
 
 namespace yokestream::test {
 
@@ -14,7 +14,7 @@
 using migration::PlanProgress;
 using policy::TableGroupId;
 
-inline Plan a_plan(std::size_t areas, Duration hold = 2s) {
+inline Plan make_plan(std::size_t areas, Duration hold = 2s) {
   Plan plan;
   plan.name = "south";
   plan.origins["old"].zones = {"a"};
@@ -27,41 +27,44 @@
   plan.stages = {{0.3, 0.5, hold}, {1, 1, hold}};
   return plan;
 }
-inline std::string text_of(const Plan& plan) { return base::write_json(migration::to_json(plan)); }
+inline std::string plan_json(const Plan& plan) { return base::write_json(migration::to_json(plan)); }
 
-// The owner's side alone, told what it sees.
-struct Owner {
-  explicit Owner(Plan p, unsigned without = 0) : plan(std::move(p)), mover(3s, 0.01, without) {
-    looked.fencing_token = 5;
-    live("1"), live("2");
+// The leader's task alone, with a fleet as the test says.
+struct Leader {
+  explicit Leader(Plan p, unsigned disabled_guards = 0)
+      : plan(std::move(p)), task(3s, 0.01, disabled_guards) {
+    fleet.fencing_token = 5;
+
+    join("1");
+    join("2");
   }
-  void live(const std::string& session) { looked.members[session] = {"n" + session, "1", 0, {}, {}}; }
-  // One look; true: it wrote. All living sessions but `silent` act on it at once.
-  bool look(Duration later = 1s) {
-    looked.now += later;
-    const auto draft = mover.next_draft(looked);
+  void join(const std::string& session) { fleet.members[session] = {"n" + session, "1", 0, {}, {}}; }
+  // One inspection; true: it wrote. All live sessions but `silent_session` acknowledge it at once.
+  bool inspect(Duration later = 1s) {
+    fleet.now += later;
+    const auto draft = task.next_draft(fleet);
     if (!draft) return false;
-    for (const auto& asked : draft->answered_requests) looked.staff_requests.erase(asked);
-    CHECK(mover.observe(draft->state, "1"));
-    for (auto& [session, fact] : looked.members)
-      if (session != silent) fact.acknowledged_epochs[MigrationTask::kName] = mover.record().epoch;
+    for (const auto& asked : draft->answered_requests) fleet.staff_requests.erase(asked);
+    CHECK(task.observe(draft->state, "1"));
+    for (auto& [session, member] : fleet.members)
+      if (session != silent_session) member.acknowledged_epochs[MigrationTask::kName] = task.record().epoch;
     return true;
   }
-  void propose() { looked.staff_requests["plan/" + plan.name] = text_of(plan); }
+  void propose() { fleet.staff_requests["plan/" + plan.name] = plan_json(plan); }
   std::vector<std::size_t> steps() const {
-    return mover.record().plans.empty() ? std::vector<std::size_t>{} : mover.record().plans[0].steps;
+    return task.record().plans.empty() ? std::vector<std::size_t>{} : task.record().plans[0].steps;
   }
-  std::string ended() const {
-    const auto it = mover.record().outcomes.find("south");
-    return it == mover.record().outcomes.end() ? "" : it->second;
+  std::string outcome() const {
+    const auto it = task.record().outcomes.find("south");
+    return it == task.record().outcomes.end() ? "" : it->second;
   }
   Plan plan;
-  MigrationTask mover;
-  coordination::FleetSnapshot looked{Time(1000s), {}, {}, 0};
-  std::string silent;
+  MigrationTask task;
+  coordination::FleetSnapshot fleet{Time(1000s), {}, {}, 0};
+  std::string silent_session;
 };
 
-inline DutySettings moving(std::size_t processes, std::size_t areas, std::uint64_t seed) {
+inline DutySettings migration_settings(std::size_t processes, std::size_t areas, std::uint64_t seed) {
   DutySettings settings;
   settings.processes = processes;
   settings.seed = seed;
--- a/tests/node/migration_test.cpp
+++ b/tests/node/migration_test.cpp
@@ -1,168 +1,186 @@
-// The steps that follow from what the owner sees: order, acknowledgements, gates, ways back.
+// The steps of a migration at the leader: order, acknowledgements, gates, rollbacks.
 #include "migration_fixture.h"
 
 namespace yokestream::test {
 namespace {
 
-TEST_CASE(
-    "a chain of areas goes stage by stage, each after the one before it is wholly there, and is at home") {
-  Owner owner(a_plan(3, 0s));
-  owner.propose();
+TEST_CASE("a chain of areas moves stage by stage, each after its prerequisite has moved completely") {
+  Leader leader(make_plan(3, 0s));
+  leader.propose();
   std::vector<std::vector<std::size_t>> seen;
-  for (int i = 0; i < 40 && owner.ended().empty(); ++i)
-    if (owner.look()) seen.push_back(owner.steps());
-  CHECK(owner.ended() == "done");
+  for (int i = 0; i < 40 && leader.outcome().empty(); ++i)
+    if (leader.inspect()) seen.push_back(leader.steps());
+  CHECK(leader.outcome() == "done");
   for (const auto& steps : seen)
     for (std::size_t i = 1; i < steps.size(); ++i) CHECK((steps[i] == 0 || steps[i - 1] == 4));
-  CHECK(owner.mover.record().homes.at(TableGroupId{3}).name == "new");
-  owner.propose();  // from where they are no more
-  owner.look();
-  CHECK(owner.ended() == "turned down: area 1 is at home at new");
+  CHECK(leader.task.record().homes.at(TableGroupId{3}).name == "new");
+  leader.propose();  // from an origin where the areas are no longer at home
+  leader.inspect();
+  CHECK(leader.outcome() == "turned down: area 1 is at home at new");
 }
 
-TEST_CASE(
-    "nothing goes on while one edge is silent, until its session has ended and the longest time has passed") {
-  Owner owner(a_plan(1, 0s));
-  owner.propose();
-  owner.look();
-  owner.silent = "2";
-  owner.look();
-  const auto stands = owner.steps();
-  for (int i = 0; i < 100; ++i) CHECK_FALSE(owner.look());
-  CHECK(owner.steps() == stands);
-  owner.live("3");  // who joins is let in meanwhile, and changes nothing
-  CHECK(owner.look());
-  CHECK(owner.steps() == stands);
-  owner.looked.members.erase("2");
-  for (int i = 0; i < 4; ++i) CHECK_FALSE(owner.look());  // 3 s and the drift
-  CHECK(owner.look());
-  CHECK(owner.steps() != stands);
-  CHECK(owner.mover.record().roster.count("2") == 0);
+// Failure: a member stops acknowledging, then its session ends while its attempts may be in flight.
+// Expected: no step until the longest attempt has ended, as it might run on both sides.
+TEST_CASE("a plan waits for a silent member until its session and its last attempts have ended") {
+  Leader leader(make_plan(1, 0s));
+  leader.propose();
+  leader.inspect();
+  leader.silent_session = "2";
+  leader.inspect();
+  const auto steps_before = leader.steps();
+  for (int i = 0; i < 100; ++i) CHECK_FALSE(leader.inspect());
+  CHECK(leader.steps() == steps_before);
+  leader.join("3");  // a new member is added meanwhile, and changes nothing else
+  CHECK(leader.inspect());
+  CHECK(leader.steps() == steps_before);
+  leader.fleet.members.erase("2");
+  for (int i = 0; i < 4; ++i) CHECK_FALSE(leader.inspect());  // 3 s and the clock drift
+  CHECK(leader.inspect());
+  CHECK(leader.steps() != steps_before);
+  CHECK(leader.task.record().roster.count("2") == 0);
 }
 
-TEST_CASE("an owner that takes over waits for who it never saw alive, and goes on at the step that stands") {
-  Owner first(a_plan(1, 0s));
+// Failure: the leader changes, and a member of the roster has died meanwhile.
+// Expected: the new leader counts the waiting time anew, then takes the next step and no other.
+TEST_CASE("a new leader waits for members it never saw, and continues at the stored step") {
+  Leader first(make_plan(1, 0s));
   first.propose();
-  first.look(), first.look();
-  Owner second(a_plan(1, 0s));
-  second.mover.observe(encode(first.mover.record()), "1");
-  second.looked = first.looked;
-  second.looked.fencing_token = 9;
-  second.looked.members.erase("2");
-  const auto stands = second.steps();
-  for (int i = 0; i < 4; ++i) CHECK_FALSE(second.look());
-  CHECK(second.look());
-  CHECK(second.steps()[0] == stands[0] + 1);
-  CHECK(second.mover.record().fencing_token == 9);
+  first.inspect();
+  first.inspect();
+  Leader second(make_plan(1, 0s));
+  second.task.observe(encode(first.task.record()), "1");
+  second.fleet = first.fleet;
+  second.fleet.fencing_token = 9;
+  second.fleet.members.erase("2");
+  const auto steps_before = second.steps();
+  for (int i = 0; i < 4; ++i) CHECK_FALSE(second.inspect());
+  CHECK(second.inspect());
+  CHECK(second.steps()[0] == steps_before[0] + 1);
+  CHECK(second.task.record().fencing_token == 9);
 }
 
-TEST_CASE("a stage lasts its time, and the loads of an area are open on one side at most") {
-  Owner owner(a_plan(1, 10s));
-  owner.propose();
-  owner.look(), owner.look();
-  CHECK(owner.steps() == std::vector<std::size_t>{1});
-  for (int i = 0; i < 10; ++i) CHECK_FALSE(owner.look());
-  CHECK(owner.look());
-  CHECK(owner.steps() == std::vector<std::size_t>{2});
+TEST_CASE("a stage lasts its minimum duration, and loads of an area run on one side at most") {
+  Leader leader(make_plan(1, 10s));
+  leader.propose();
+  leader.inspect();
+  leader.inspect();
+  CHECK(leader.steps() == std::vector<std::size_t>{1});
+  for (int i = 0; i < 10; ++i) CHECK_FALSE(leader.inspect());
+  CHECK(leader.inspect());
+  CHECK(leader.steps() == std::vector<std::size_t>{2});
   using Loads = routing::Rule::Loads;
   std::vector<Loads> seen;
-  for (int i = 0; i < 30 && owner.ended().empty(); ++i) {
-    owner.look();
-    seen.push_back(owner.mover.routing_table()->rules.at(TableGroupId{1}).loads);
+  for (int i = 0; i < 30 && leader.outcome().empty(); ++i) {
+    leader.inspect();
+    seen.push_back(leader.task.routing_table()->rules.at(TableGroupId{1}).loads);
   }
   seen.erase(std::unique(seen.begin(), seen.end()), seen.end());
   CHECK(seen ==
         std::vector<Loads>{Loads::from, Loads::nowhere, Loads::to, Loads::from});  // then it is at home
-  CHECK_FALSE(table_of(owner.mover.record(), "7"));                                // not in the roster
+  CHECK_FALSE(table_of(leader.task.record(), "7"));                                // not in the roster
 }
 
-void tell(Owner& owner, std::int64_t served_there) {
-  for (auto& [session, fact] : owner.looked.members) {
-    auto& tally = fact.tallies["south"];
-    migration::add(tally, {100, 100, 0, 0, 100, served_there, 0, 0}, 1);
+void report_outcomes(Leader& leader, std::int64_t served_on_new_side) {
+  for (auto& [session, member] : leader.fleet.members) {
+    auto& tally = member.tallies["south"];
+    migration::add(tally, {100, 100, 0, 0, 100, served_on_new_side, 0, 0}, 1);
   }
 }
 
-TEST_CASE("a gate that fails holds the plan, or sends it back in reverse order; too few outcomes wait") {
+void report_and_inspect(Leader& leader, std::int64_t served_on_new_side) {
+  report_outcomes(leader, served_on_new_side);
+  leader.inspect();
+}
+
+// Failure: the new side serves fewer requests than the old one.
+// Expected: the plan is held or rolled back, as it says; without outcomes it neither advances nor fails.
+TEST_CASE("a failed gate holds the plan or rolls it back in reverse order; too few outcomes wait") {
   for (const auto on_fail : {OnFail::hold, OnFail::roll_back}) {
-    Plan plan = a_plan(2, 0s);
+    Plan plan = make_plan(2, 0s);
     plan.gate = migration::Gate{};
     plan.on_fail = on_fail;
-    Owner owner(plan);
-    owner.propose();
-    owner.look(), owner.look();
-    for (int i = 0; i < 20; ++i) CHECK_FALSE(owner.look());  // nothing has been answered
-    CHECK(owner.steps() == std::vector<std::size_t>{1, 0});
-    for (int i = 0; i < 30 && owner.steps() != std::vector<std::size_t>{4, 1}; ++i)
-      tell(owner, 100), owner.look();
-    REQUIRE(owner.steps() == std::vector<std::size_t>{4, 1});
-    owner.look();  // the stage's span begins
-    tell(owner, 60);
-    owner.look();
-    CHECK(owner.mover.record().plans[0].cause == "served 0.600, on the side left behind 1.000");
+    Leader leader(plan);
+    leader.propose();
+    leader.inspect();
+    leader.inspect();
+    for (int i = 0; i < 20; ++i) CHECK_FALSE(leader.inspect());  // nothing has been answered
+    CHECK(leader.steps() == std::vector<std::size_t>{1, 0});
+    for (int i = 0; i < 30 && leader.steps() != std::vector<std::size_t>{4, 1}; ++i)
+      report_and_inspect(leader, 100);
+    REQUIRE(leader.steps() == std::vector<std::size_t>{4, 1});
+    leader.inspect();  // the stage's span begins
+    report_outcomes(leader, 60);
+    leader.inspect();
+    CHECK(leader.task.record().plans[0].cause == "served 0.600, on the side left behind 1.000");
     if (on_fail == OnFail::hold) {
-      CHECK(owner.mover.record().plans[0].halted);
+      CHECK(leader.task.record().plans[0].halted);
       bool held = true;
-      for (int i = 0; i < 10; ++i) tell(owner, 100), held &= !owner.look();
+      for (int i = 0; i < 10; ++i) {
+        report_outcomes(leader, 100);
+        held &= !leader.inspect();
+      }
       CHECK(held);
-      owner.looked.staff_requests["wish/south"] = "resume";
-      for (int i = 0; i < 30 && owner.ended().empty(); ++i) tell(owner, 100), owner.look();
-      CHECK(owner.ended() == "done");
+      leader.fleet.staff_requests["wish/south"] = "resume";
+      for (int i = 0; i < 30 && leader.outcome().empty(); ++i) report_and_inspect(leader, 100);
+      CHECK(leader.outcome() == "done");
     } else {
       bool second_first = true;
-      for (int i = 0; i < 60 && owner.ended().empty(); ++i) {
-        tell(owner, 60), owner.look();
-        if (!owner.steps().empty()) second_first &= owner.steps()[0] == 4 || owner.steps()[1] == 0;
+      for (int i = 0; i < 60 && leader.outcome().empty(); ++i) {
+        report_and_inspect(leader, 60);
+        if (!leader.steps().empty()) second_first &= leader.steps()[0] == 4 || leader.steps()[1] == 0;
       }
       CHECK(second_first);
-      CHECK(owner.ended().rfind("went back: served", 0) == 0);
-      CHECK(owner.mover.record().homes.at(TableGroupId{1}).name == "old");
+      CHECK(leader.outcome().rfind("went back: served", 0) == 0);
+      CHECK(leader.task.record().homes.at(TableGroupId{1}).name == "old");
     }
   }
 }
 
-TEST_CASE("a way back whose own gate fails halts, and goes on when staff say so") {
-  Plan plan = a_plan(1, 0s);
+// Failure: while a plan rolls back, the old side turns out to be the worse one.
+// Expected: the plan halts instead of going back and forth, until staff resume it.
+TEST_CASE("a rollback whose own gate fails halts, and continues when staff resume it") {
+  Plan plan = make_plan(1, 0s);
   plan.gate = migration::Gate{};
   plan.on_fail = OnFail::roll_back;
   plan.stages = {{0.3, 0.3, 0s}, {0.6, 0.6, 0s}, {1, 1, 0s}};
-  Owner owner(plan);
-  owner.propose();
-  for (int i = 0; i < 30 && owner.steps() != std::vector<std::size_t>{2}; ++i) tell(owner, 100), owner.look();
-  owner.look();  // the stage's span begins
-  tell(owner, 10);
-  owner.look();
-  REQUIRE(owner.mover.record().plans[0].rolling_back);
-  for (auto& [session, fact] : owner.looked.members)  // now the old side serves worse still
-    migration::add(fact.tallies["south"], {1000, 10, 0, 0, 1000, 1000, 0, 0}, 1);
-  for (int i = 0; i < 5; ++i) owner.look();
-  REQUIRE(owner.mover.record().plans.size() == 1);
-  CHECK(owner.mover.record().plans[0].halted);
-  owner.looked.staff_requests["wish/south"] = "resume";
-  for (int i = 0; i < 30 && owner.ended().empty(); ++i) tell(owner, 10), owner.look();
-  CHECK(owner.ended().rfind("went back", 0) == 0);
+  Leader leader(plan);
+  leader.propose();
+  for (int i = 0; i < 30 && leader.steps() != std::vector<std::size_t>{2}; ++i)
+    report_and_inspect(leader, 100);
+  leader.inspect();  // the stage's span begins
+  report_outcomes(leader, 10);
+  leader.inspect();
+  REQUIRE(leader.task.record().plans[0].rolling_back);
+  for (auto& [session, member] : leader.fleet.members)  // now the old side serves even fewer
+    migration::add(member.tallies["south"], {1000, 10, 0, 0, 1000, 1000, 0, 0}, 1);
+  for (int i = 0; i < 5; ++i) leader.inspect();
+  REQUIRE(leader.task.record().plans.size() == 1);
+  CHECK(leader.task.record().plans[0].halted);
+  leader.fleet.staff_requests["wish/south"] = "resume";
+  for (int i = 0; i < 30 && leader.outcome().empty(); ++i) report_and_inspect(leader, 10);
+  CHECK(leader.outcome().rfind("went back", 0) == 0);
 }
 
 TEST_CASE(
-    "plans that share an area exclude each other; others go on beside; what can't be read is turned down") {
-  Owner owner(a_plan(2, 10s));
-  owner.propose();
-  Plan other = a_plan(3, 0s);
+    "plans with a common area exclude each other, others run concurrently, malformed ones are rejected") {
+  Leader leader(make_plan(2, 10s));
+  leader.propose();
+  Plan other = make_plan(3, 0s);
   other.name = "wide";
-  owner.looked.staff_requests["plan/wide"] = text_of(other);
+  leader.fleet.staff_requests["plan/wide"] = plan_json(other);
   other.name = "apart";
   other.moves = {{TableGroupId{50}, "old", "new", {}}};
-  owner.looked.staff_requests["plan/apart"] = text_of(other);
-  owner.looked.staff_requests["plan/noise"] = "{";
-  owner.looked.staff_requests["plan/named"] = text_of(other);
-  owner.look();
-  const auto& record = owner.mover.record();
-  CHECK(owner.looked.staff_requests.empty());
+  leader.fleet.staff_requests["plan/apart"] = plan_json(other);
+  leader.fleet.staff_requests["plan/noise"] = "{";
+  leader.fleet.staff_requests["plan/named"] = plan_json(other);
+  leader.inspect();
+  const auto& record = leader.task.record();
+  CHECK(leader.fleet.staff_requests.empty());
   CHECK(record.outcomes.at("wide") == "turned down: area 1 is in plan south");
   CHECK(record.outcomes.at("noise") == "turned down: it can't be read");
   CHECK(record.outcomes.at("named") == "turned down: it is of another name");
   CHECK(record.plans.size() == 2);
-  for (int i = 0; i < 8; ++i) owner.look();
+  for (int i = 0; i < 8; ++i) leader.inspect();
   CHECK(record.outcomes.at("apart") == "done");
   CHECK(record.plans.size() == 1);
 }
--- a/tests/node/routing_test.cpp
+++ b/tests/node/routing_test.cpp
@@ -3,7 +3,7 @@
 #include <doctest/doctest.h>
 
 #include "helper.h"
-#include "routing/routes.h"
+#include "routing/router.h"
 
 namespace yokestream::test {
 namespace {
--- a/tests/processes/duty_memory.cpp
+++ b/tests/processes/duty_memory.cpp
@@ -18,7 +18,7 @@
   Folder folder;
   Program program(folder, config_text("127.0.0.1:0", to_string(engine)), -1, {}, operators);
   program.until("serves on");
-  if (on) program.until("owns the duty shares, term");
+  if (on) program.until("fleet leadership acquired: task=shares fencing_token=");
   std::ifstream status("/proc/" + std::to_string(program.id()) + "/status");
   for (std::string word; status >> word;) {
     long kb = 0;
--- a/tests/processes/fleet_test.cpp
+++ b/tests/processes/fleet_test.cpp
@@ -30,7 +30,7 @@
   program(first).tell(SIGCONT);
   wait_for_all(3);
   CHECK(owner() != first);
-  CHECK(program(first).until("owns the duty shares no more"));
+  CHECK(program(first).until("fleet leadership lost: task=shares"));
 }
 
 TEST_CASE_FIXTURE(ThreeManagers, "two old owners that wake at once stand again behind the third") {
--- a/tests/processes/moving.h
+++ b/tests/processes/moving.h
@@ -5,7 +5,7 @@
 #include <fstream>
 #include <set>
 
-#include "migration/mover.h"
+#include "migration/migration_task.h"
 #include "three_managers.h"
 
 namespace yokestream::test {
