--- a/src/net/events.h
+++ b/src/net/events.h
@@ -5,13 +5,13 @@
 #include <optional>
 #include <variant>
 
-#include "coordination/fleet.h"
+#include "coordination/fleet_member.h"
 #include "dispatch/ports.h"
 #include "door/settings.h"
 #include "net/queue.h"
 #include "net/socket.h"
 #include "queues/settings.h"
-#include "routing/routes.h"
+#include "routing/router.h"
 
 namespace yokestream::net {
 
--- a/src/standin/duty_process.h
+++ b/src/standin/duty_process.h
@@ -3,9 +3,9 @@
 
 #include <array>
 
-#include "migration/mover.h"
+#include "migration/migration_task.h"
 #include "standin/duty_world.h"
-#include "store/addresses.h"
+#include "store/endpoint_rotation.h"
 
 namespace yokestream::standin {
 
