--- /dev/null
+++ b/src/dispatch/admission_stages.cpp
@@ -0,0 +1,173 @@
+#include "dispatch/admission_stages.h"
+
+#include <algorithm>
+#include <sstream>
+#include <utility>
+
+#include "base/seconds.h"
+
+namespace yokestream::dispatch {
+namespace {
+
+using policy::QueryId;
+
+constexpr Duration kLogInterval = std::chrono::seconds(10);
+
+// Where the scheduler stands behind the throttle, that one admits more than runs: the scheduler queues it.
+door::Settings throttle_settings(const config::Config& config) {
+  door::Settings settings = config.door;
+  if (config.queues.on) settings.room = config.queues.room;
+  return settings;
+}
+
+}  // namespace
+
+AdmissionStages::AdmissionStages(const config::Config& config, Time now, Log& log)
+    : config_(config), log_(log) {
+  const std::size_t classes = config.settings.classes.size();
+  if (config.door.on) throttle_.emplace(throttle_settings(config), config.settings.tenants.size(), classes);
+  if (config.queues.on) scheduler_.emplace(now, config.queues, classes);
+}
+
+const policy::ClassSettings& AdmissionStages::class_of(const RequestReceived& request) const {
+  return config_.settings.classes[static_cast<std::size_t>(request.query_class)];
+}
+
+void AdmissionStages::configure_throttle(const door::Settings& settings) {
+  if (!throttle_ || !settings.on) return;
+  door::Settings with_room = settings;
+  with_room.room = throttle_->room();
+  throttle_->configure(with_room);
+}
+
+void AdmissionStages::configure_scheduler(Time now, const queues::Settings& settings) {
+  if (scheduler_ && settings.on) scheduler_->configure(now, settings);
+}
+
+void AdmissionStages::set_cores(Time now, double cores) {
+  if (throttle_) throttle_->cores(cores);
+  if (scheduler_) scheduler_->cores(now, cores);
+}
+
+door::Verdict AdmissionStages::offer_to_throttle(Time now, QueryId query, const RequestReceived& request,
+                                                 std::uint64_t origin) {
+  door::Arrival arrival;
+  arrival.query = query;
+  arrival.member = static_cast<std::size_t>(request.tenant);
+  arrival.cls = static_cast<std::size_t>(request.query_class);
+  arrival.client = config_.door.by_connection ? static_cast<std::uint64_t>(request.session) : origin;
+  arrival.told = request.work ? seconds_of(*request.work) : 0;
+  arrival.threads = class_of(request).threads;
+  arrival.deadline = request.deadline;
+  return throttle_->arrive(now, arrival);
+}
+
+queues::Verdict AdmissionStages::offer_to_scheduler(Time now, QueryId query, const RequestReceived& request,
+                                                    double cost_s) {
+  return scheduler_->arrive(now, scheduler_arrival(now, query, request, cost_s));
+}
+
+queues::Quote AdmissionStages::quote(Time now, const RequestReceived& request) {
+  return scheduler_->quote(now, scheduler_arrival(now, {}, request, 0));
+}
+
+queues::Arrival AdmissionStages::scheduler_arrival(Time now, QueryId query, const RequestReceived& request,
+                                                   double cost_s) const {
+  const policy::ClassSettings& cls = class_of(request);
+  const double reported_s = request.work ? seconds_of(*request.work) : 0;
+  const double estimate_s = cost_s > 0 ? cost_s : reported_s;
+  queues::Arrival arrival;
+  arrival.query = query;
+  arrival.member = static_cast<std::size_t>(request.tenant);
+  arrival.cls = static_cast<std::size_t>(request.query_class);
+  arrival.told = estimate_s;
+  arrival.threads = cls.threads;
+  arrival.deadline = request.deadline;
+  arrival.wanted = now + cls.latency_objective +
+                   from_seconds(cls.latency_objective_stretch * estimate_s / std::max(1.0, cls.threads));
+  arrival.load = cls.locks_table_group || cls.idempotency != policy::Idempotency::idempotent;
+  return arrival;
+}
+
+std::optional<door::Moved> AdmissionStages::next_from_throttle(Time now) {
+  return throttle_ ? throttle_->next(now) : std::nullopt;
+}
+
+std::optional<queues::Moved> AdmissionStages::next_from_scheduler(Time now) {
+  return scheduler_ ? scheduler_->next(now) : std::nullopt;
+}
+
+Time AdmissionStages::next_due(Time now) const {
+  const Time throttle_due = throttle_ ? throttle_->next_due(now) : Time::max();
+  const Time scheduler_due = scheduler_ ? scheduler_->next_due(now) : Time::max();
+  return std::min(throttle_due, scheduler_due);
+}
+
+std::uint32_t AdmissionStages::on_attempt_started(Time now, QueryId query, const std::string& engine,
+                                                  std::uint32_t requested_priority) {
+  return scheduler_ ? scheduler_->started(now, query, engine, requested_priority) : requested_priority;
+}
+
+void AdmissionStages::on_attempt_ended(QueryId query) {
+  if (scheduler_) scheduler_->ended(query);
+}
+
+std::optional<std::uint32_t> AdmissionStages::on_priority_requested(Time now, QueryId query,
+                                                                    std::uint32_t priority) {
+  return scheduler_ ? scheduler_->wish(now, query, priority) : std::optional(priority);
+}
+
+std::optional<queues::Bands::Change> AdmissionStages::next_band_change(Time now) {
+  return scheduler_ ? scheduler_->next_band(now) : std::nullopt;
+}
+
+void AdmissionStages::on_request_finished(Time now, QueryId query, const door::Outcome& outcome) {
+  if (throttle_) throttle_->over(now, query, outcome);
+  if (scheduler_) scheduler_->over(now, query, outcome);
+}
+
+std::optional<door::Figures> AdmissionStages::throttle_metrics() const {
+  return throttle_ ? std::optional(throttle_->figures()) : std::nullopt;
+}
+
+std::optional<queues::Figures> AdmissionStages::scheduler_metrics() const {
+  return scheduler_ ? std::optional(scheduler_->figures()) : std::nullopt;
+}
+
+void AdmissionStages::log_metrics_if_due(Time now) {
+  if (!enabled() || now < next_log_) return;
+  next_log_ = now + kLogInterval;
+  if (scheduler_) log_scheduler_metrics();
+  if (throttle_) log_throttle_metrics();
+}
+
+// The keys are those of the operators' pages.
+void AdmissionStages::log_throttle_metrics() {
+  const door::Figures f = throttle_->figures();
+  if (std::exchange(logged_rejections_, f.turned_away) == f.turned_away) return;
+  std::ostringstream line;
+  line.precision(3);
+  line << "door arrived=" << f.arrived << " passed_at_once=" << f.passed_at_once << " waited=" << f.waited
+       << " turned_away=" << f.turned_away << " early=" << f.early << " kept=" << f.kept
+       << " kept_in=" << f.kept_in << " waiting=" << f.waiting << " in=" << f.in << " places=" << f.places
+       << " bound=" << f.bound << " threads_in=" << f.threads_in << " drain_rate=" << f.drain_rate
+       << " stretch=" << f.stretch;
+  log_.write(line.str());
+}
+
+void AdmissionStages::log_scheduler_metrics() {
+  const queues::Figures f = scheduler_->figures();
+  const std::uint64_t waits = f.waited + f.turned_away;
+  if (std::exchange(logged_waits_, waits) == waits) return;
+  std::ostringstream line;
+  line.precision(3);
+  line << "queues arrived=" << f.arrived << " passed_at_once=" << f.passed_at_once << " waited=" << f.waited
+       << " turned_away=" << f.turned_away << " expired=" << f.expired << " rescued=" << f.rescued
+       << " quotes=" << f.quotes << " quotes_right=" << f.quotes_right << " long_quotes=" << f.long_quotes
+       << " long_quotes_right=" << f.long_quotes_right << " longest_wait=" << f.longest_wait
+       << " waiting=" << f.waiting << " in=" << f.in << " sunk=" << f.sunk << " nice=" << f.nice
+       << " pace=" << f.pace << " bound=" << f.bound << " threads_in=" << f.threads_in;
+  log_.write(line.str());
+}
+
+}  // namespace yokestream::dispatch
--- a/src/dispatch/budget.h
+++ b/src/dispatch/budget.h
@@ -1,4 +1,4 @@
-// A bound on the memory that statements and results take together.
+// A bound on the memory of all statements and results together, in bytes.
 #pragma once
 
 #include <algorithm>
@@ -10,7 +10,8 @@
 
 class Budget;
 
-// Part of a budget; gives it back when it goes. Must not outlive the budget.
+// Bytes reserved from a budget; the destructor returns them. Must not outlive the budget. Movable, one
+// thread.
 class Reservation {
  public:
   Reservation() = default;
@@ -30,27 +31,29 @@
   std::size_t bytes_ = 0;
 };
 
-class Budget {  // may be used from several threads
+// Thread-safe.
+class Budget {
  public:
   explicit Budget(std::size_t bytes) : limit_(bytes) {}
-  // Adds to what `held` holds already. False: there is not so much left, and nothing was taken.
-  bool try_reserve(Reservation& held, std::size_t bytes) {
-    if (used_.fetch_add(bytes) + bytes > limit_ - std::min(limit_, aside_.load())) {
+  // Adds to what `reservation` has already. False: not so much is left, and nothing was reserved.
+  bool try_reserve(Reservation& reservation, std::size_t bytes) {
+    if (used_.fetch_add(bytes) + bytes > limit_ - std::min(limit_, set_aside_.load())) {
       used_ -= bytes;
       return false;
     }
-    held.budget_ = this;
-    held.bytes_ += bytes;
+    reservation.budget_ = this;
+    reservation.bytes_ += bytes;
     return true;
   }
   std::size_t reserved() const { return used_; }
-  // So much of it is another's for now; what is taken already stays.
-  void set_aside(std::size_t bytes) { aside_ = bytes; }
+  // So many bytes may not be reserved for now; what is reserved already stays.
+  void set_aside(std::size_t bytes) { set_aside_ = bytes; }
 
  private:
   friend class Reservation;
   const std::size_t limit_;
-  std::atomic<std::size_t> used_{0}, aside_{0};
+  std::atomic<std::size_t> used_{0};
+  std::atomic<std::size_t> set_aside_{0};
 };
 
 inline Reservation::~Reservation() {
--- a/src/dispatch/engine_connections.cpp
+++ b/src/dispatch/engine_connections.cpp
@@ -1,85 +1,99 @@
 #include "dispatch/engine_connections.h"
 
 #include <algorithm>
+#include <tuple>
 
 namespace yokestream::dispatch {
 namespace {
 
-constexpr std::string_view kAlive = "alive";
+constexpr std::string_view kPingTag = "alive";
+
+// An idle connection comes first, one that is up before one that is connecting.
+std::tuple<std::size_t, bool> rank(const EngineConnection& connection) {
+  return {connection.in_flight.size(), !connection.up};
+}
 
 }  // namespace
 
-// Guards against two things. One spoilt answer, or one reset, ends all that runs on its connection: so an
-// attempt gets a connection of its own as long as there are some, and shares the least used one after that.
-// And an engine gets the client's id, so a link that has carried this request before could bring the earlier
-// attempt's answer, or a second copy of it, for the new one's.
-std::optional<EngineConnectionId> EngineConnections::pick(Time now, const std::string& uid,
-                                                          const EngineRecord& engine,
-                                                          const std::vector<EngineConnectionId>& but,
-                                                          Time dial_deadline) {
+// Failure: a corrupt response or a reset ends all that runs on its connection. Symptom: many requests fail at
+// once. Guard: an attempt gets a connection of its own while there are some, then shares the least used one.
+// Failure: engines know requests by the client's id, so a connection that has carried this request before
+// could bring the earlier attempt's response. Symptom: it is taken for the new one's. Guard: `excluded`.
+std::optional<EngineConnectionId> EngineConnections::acquire(Time now, const std::string& uid,
+                                                             const EngineRecord& engine,
+                                                             const std::vector<EngineConnectionId>& excluded,
+                                                             Time connect_deadline) {
   std::optional<EngineConnectionId> best;
   const EngineConnection* least = nullptr;
-  for (const auto& [id, link] : links_) {
-    if (link.uid != uid || link.endpoint != engine.endpoint || link.boot_ms != engine.boot_ms) continue;
-    if (link.carries.size() >= bounds_.streams || link.unheard > 0) continue;
-    if (std::find(but.begin(), but.end(), id) != but.end()) continue;
-    const auto rank = [](const EngineConnection& l) { return std::tuple(l.carries.size(), !l.up); };
-    if (!least || rank(link) < rank(*least)) least = &link, best = id;
+  for (const auto& [id, connection] : connections_) {
+    if (connection.uid != uid || connection.endpoint != engine.endpoint ||
+        connection.boot_ms != engine.boot_ms)
+      continue;
+    if (connection.in_flight.size() >= limits_.streams_per_connection || connection.unanswered_checks > 0)
+      continue;
+    if (std::find(excluded.begin(), excluded.end(), id) != excluded.end()) continue;
+    if (least && rank(connection) >= rank(*least)) continue;
+    least = &connection;
+    best = id;
   }
-  if (least && least->carries.empty()) return best;
-  if (links_.size() >= bounds_.links && !close_one_idle()) return best;
-  const EngineConnectionId id{++last_};
-  links_.emplace(id, EngineConnection{uid, engine.endpoint, engine.boot_ms, false, {}, now, 0});
-  port_.connect(id, engine.endpoint, dial_deadline);
+  if (least && least->in_flight.empty()) return best;
+  if (connections_.size() >= limits_.connections && !close_one_idle()) return best;
+  const EngineConnectionId id{++last_id_};
+  connections_.emplace(id, EngineConnection{uid, engine.endpoint, engine.boot_ms, false, {}, now, 0});
+  engines_.connect(id, engine.endpoint, connect_deadline);
   return id;
 }
 
 bool EngineConnections::close_one_idle() {
-  const auto it = std::find_if(links_.begin(), links_.end(),
-                               [](const auto& l) { return l.second.up && l.second.carries.empty(); });
-  if (it == links_.end()) return false;
-  port_.close(it->first);
-  links_.erase(it);
+  const auto it = std::find_if(connections_.begin(), connections_.end(), [](const auto& entry) {
+    return entry.second.up && entry.second.in_flight.empty();
+  });
+  if (it == connections_.end()) return false;
+  engines_.close(it->first);
+  connections_.erase(it);
   return true;
 }
 
 EngineConnection* EngineConnections::find(EngineConnectionId id) {
-  const auto it = links_.find(id);
-  return it == links_.end() ? nullptr : &it->second;
+  const auto it = connections_.find(id);
+  return it == connections_.end() ? nullptr : &it->second;
 }
 
-void EngineConnections::carry(Time now, EngineConnectionId id, const std::string& request_id,
-                              policy::QueryId query) {
-  EngineConnection& link = links_.at(id);
-  if (link.carries.empty()) link.heard = now;
-  link.carries.emplace(request_id, query);
+void EngineConnections::add_request(Time now, EngineConnectionId id, const std::string& request_id,
+                                    policy::QueryId query) {
+  EngineConnection& connection = connections_.at(id);
+  if (connection.in_flight.empty()) connection.last_activity = now;
+  connection.in_flight.emplace(request_id, query);
 }
 
-void EngineConnections::release(Time now, EngineConnectionId id, const std::string& request_id) {
-  EngineConnection* link = find(id);
-  if (!link) return;
-  link->carries.erase(request_id);
-  if (link->carries.empty()) link->heard = now;
+void EngineConnections::remove_request(Time now, EngineConnectionId id, const std::string& request_id) {
+  EngineConnection* connection = find(id);
+  if (!connection) return;
+  connection->in_flight.erase(request_id);
+  if (connection->in_flight.empty()) connection->last_activity = now;
 }
 
-// Guards against a connection that stays open and is of no further use: an answer that stopped short and was
-// taken for the next ones' bytes, a machine cut off. Notes come seconds apart, so it is asked. Sweeps are
-// counted, not time: a core that stood still has not heard what came meanwhile.
-std::vector<EngineConnectionId> EngineConnections::sweep(Time now, const EngineDirectory& directory) {
+// Failure: a connection stays open and is of no further use, as a response stopped short or a machine was cut
+// off. Symptom: attempts on it run into their timeouts. Guard: it is pinged, as progress comes seconds apart.
+// Checks are counted, not time: a core that stood still has not handled what came meanwhile.
+std::vector<EngineConnectionId> EngineConnections::check(Time now, const EngineDirectory& directory) {
   std::vector<EngineConnectionId> dead;
-  for (auto it = links_.begin(); it != links_.end();) {
-    EngineConnection& link = it->second;
-    const EngineRecord* engine = directory.find_available(link.uid);
-    const bool current = engine && engine->endpoint == link.endpoint && engine->boot_ms == link.boot_ms;
-    const bool stale = !current || (bounds_.idle > Duration{} && now - link.heard >= bounds_.idle);
-    if (link.up && link.carries.empty() && stale) {
-      port_.close(it->first);
-      it = links_.erase(it);
+  for (auto it = connections_.begin(); it != connections_.end();) {
+    EngineConnection& connection = it->second;
+    const EngineRecord* engine = directory.find_available(connection.uid);
+    const bool current =
+        engine && engine->endpoint == connection.endpoint && engine->boot_ms == connection.boot_ms;
+    const bool stale = !current || (limits_.idle_timeout > Duration{} &&
+                                    now - connection.last_activity >= limits_.idle_timeout);
+    if (connection.up && connection.in_flight.empty() && stale) {
+      engines_.close(it->first);
+      it = connections_.erase(it);
       continue;
     }
-    if (link.up && !link.carries.empty() && now - link.heard >= bounds_.ask_after) {
-      if (link.unheard == 0) port_.ping(it->first, kAlive);
-      if (++link.unheard > bounds_.sweeps) dead.push_back(it->first);
+    if (connection.up && !connection.in_flight.empty() &&
+        now - connection.last_activity >= limits_.check_after) {
+      if (connection.unanswered_checks == 0) engines_.ping(it->first, kPingTag);
+      if (++connection.unanswered_checks > limits_.max_unanswered_checks) dead.push_back(it->first);
     }
     ++it;
   }
--- a/src/dispatch/engine_connections.h
+++ b/src/dispatch/engine_connections.h
@@ -1,4 +1,7 @@
-// The connections to engines: which of them an attempt may use, and when one is to be closed.
+// The connections to engines: which of them an attempt may use, and when one is closed.
+//
+// Owns one record a connection; the EnginePort owns the sockets. One thread. Memory: Limits::connections
+// records at most.
 #pragma once
 
 #include <map>
@@ -12,45 +15,46 @@
 namespace yokestream::dispatch {
 
 struct EngineConnection {
-  std::string uid;
+  std::string uid;  // of the engine
   config::Endpoint endpoint;
-  std::int64_t boot_ms = 0;
-  bool up = false;
-  std::map<std::string, policy::QueryId> carries;  // by the request's id
-  Time heard{};                                    // its last byte, or when it last began to carry
-  int unheard = 0;                                 // sweeps since it was asked whether it lives
+  std::int64_t boot_ms = 0;                          // of the engine, as listed
+  bool up = false;                                   // false: still connecting
+  std::map<std::string, policy::QueryId> in_flight;  // by the request's id
+  Time last_activity{};                              // its last byte, or when it began to carry something
+  int unanswered_checks = 0;                         // since it was pinged
 };
 
 class EngineConnections {
  public:
-  struct Bounds {
-    std::size_t streams = 1;
-    std::size_t links = 300;  // over all engines
-    Duration idle{};          // closed after; 0: never
-    Duration ask_after{};     // with something on it, and nothing heard: it is asked whether it lives
-    int sweeps = 4;           // without an answer to that: it is dead
+  struct Limits {
+    std::size_t streams_per_connection = 1;
+    std::size_t connections = 300;  // over all engines
+    Duration idle_timeout{};        // 0: never closed for being idle
+    Duration check_after{};         // one in use that is silent for so long is pinged
+    int max_unanswered_checks = 4;  // after the ping: it is dead
   };
-  EngineConnections(Bounds bounds, EnginePort& port) : bounds_(bounds), port_(port) {}
-
-  // A link to this engine as it is now, opened if need be; none of `but`, which this request has used
-  // before. nullopt: no more can be opened.
-  std::optional<EngineConnectionId> pick(Time now, const std::string& uid, const EngineRecord& engine,
-                                         const std::vector<EngineConnectionId>& but, Time dial_deadline);
-  EngineConnection* find(EngineConnectionId id);
-  void carry(Time now, EngineConnectionId id, const std::string& request_id, policy::QueryId query);
-  void release(Time now, EngineConnectionId id, const std::string& request_id);
-  void drop(EngineConnectionId id) { links_.erase(id); }
-  // Closes what has been idle for too long, and idle links to what an engine no longer is. Returns those that
-  // carry something and are dead.
-  std::vector<EngineConnectionId> sweep(Time now, const EngineDirectory& directory);
+  EngineConnections(Limits limits, EnginePort& engines) : limits_(limits), engines_(engines) {}
+
+  // A connection to this engine as it is listed now, opened if need be; none of `excluded`, which this
+  // request has used before. nullopt: no more can be opened.
+  std::optional<EngineConnectionId> acquire(Time now, const std::string& uid, const EngineRecord& engine,
+                                            const std::vector<EngineConnectionId>& excluded,
+                                            Time connect_deadline);
+  EngineConnection* find(EngineConnectionId id);  // nullptr: it is closed
+  void add_request(Time now, EngineConnectionId id, const std::string& request_id, policy::QueryId query);
+  void remove_request(Time now, EngineConnectionId id, const std::string& request_id);
+  void erase(EngineConnectionId id) { connections_.erase(id); }  // the record only
+  // Closes connections that are idle for too long, and idle ones to what an engine no longer is. Returns
+  // those in use that are dead; the caller closes them.
+  std::vector<EngineConnectionId> check(Time now, const EngineDirectory& directory);
 
  private:
   bool close_one_idle();
 
-  Bounds bounds_;
-  EnginePort& port_;
-  std::map<EngineConnectionId, EngineConnection> links_;
-  std::uint64_t last_ = 0;
+  Limits limits_;
+  EnginePort& engines_;
+  std::map<EngineConnectionId, EngineConnection> connections_;
+  std::uint64_t last_id_ = 0;
 };
 
 }  // namespace yokestream::dispatch
--- a/src/dispatch/engine_directory.cpp
+++ b/src/dispatch/engine_directory.cpp
@@ -6,9 +6,9 @@
 namespace yokestream::dispatch {
 namespace {
 
-constexpr Duration kForgetAfter = std::chrono::seconds(60);
+constexpr Duration kForgetGoneAfter = std::chrono::seconds(60);
 
-// An unknown name gets a position past the end: the module then knows nothing of it.
+// An unknown name gets a position past the end, for which the decision module has no settings.
 template <class Id>
 Id position(const std::vector<std::string>& names, const std::string& name) {
   return Id{static_cast<std::uint32_t>(std::find(names.begin(), names.end(), name) - names.begin())};
@@ -16,15 +16,15 @@
 
 }  // namespace
 
-// Guards the memory where new engines replace old ones under new names for good. One that comes back soon is
-// still known, and its start maps to the same time.
-void EngineDirectory::forget(Time now) {
+// Failure: new engines replace old ones under new names for good. Symptom: memory grows. Guard: those gone
+// for long are forgotten; one that comes back soon is still known, and its start maps to the same time.
+void EngineDirectory::forget_gone(Time now) {
   std::erase_if(engines_, [&](const auto& known) {
     const auto& [uid, record] = known;
-    if (!record.gone_since || now - *record.gone_since < kForgetAfter) return false;
-    starts_.forget(uid);
-    const auto owner = owners_.find(record.endpoint);
-    if (owner != owners_.end() && owner->second == uid) owners_.erase(owner);
+    if (!record.gone_since || now - *record.gone_since < kForgetGoneAfter) return false;
+    start_times_.forget(uid);
+    const auto owner = uid_of_endpoint_.find(record.endpoint);
+    if (owner != uid_of_endpoint_.end() && owner->second == uid) uid_of_endpoint_.erase(owner);
     return true;
   });
 }
@@ -45,9 +45,9 @@
     record.gone_since = now;
 }
 
-policy::EngineList EngineDirectory::apply(Time now, const config::MembersEvent& event, bool remembered) {
+policy::EngineList EngineDirectory::apply(Time now, const config::MembersEvent& event, bool cached) {
   policy::EngineList list;
-  list.kind = remembered    ? policy::EngineListKind::cached
+  list.kind = cached        ? policy::EngineListKind::cached
               : event.whole ? policy::EngineListKind::full
                             : policy::EngineListKind::delta;
   if (event.whole) {
@@ -64,32 +64,34 @@
     note_gone(record, now);
     record.boot_ms = member.boot_ms;
     if (member.endpoint) record.endpoint = *member.endpoint;
-    if (member.endpoint && member.state == policy::EngineState::up) claim(*member.endpoint, member);
+    if (member.endpoint && member.state == policy::EngineState::up) claim_endpoint(*member.endpoint, member);
     policy::EngineEntry entry;
     entry.engine.name = member.uid;
     entry.zone = position<policy::ZoneId>(names_.zones, member.zone);
-    entry.kind = record.kind = position<policy::KindId>(names_.kinds, member.kind);
+    record.kind = position<policy::KindId>(names_.kinds, member.kind);
+    entry.kind = record.kind;
     entry.cell = policy::CellId{member.cell};
     entry.state = member.state;
     entry.weight = member.weight;
-    const bool news = !remembered && !event.whole;
-    if (member.boot_ms > 0) entry.start_time = starts_.started(now, member.uid, member.boot_ms, news);
+    const bool news = !cached && !event.whole;
+    if (member.boot_ms > 0) entry.start_time = start_times_.start_time(now, member.uid, member.boot_ms, news);
     list.entries.push_back(std::move(entry));
   }
   return list;
 }
 
-// A new engine may have the address of one that has gone, told before or after the end of the old one. What
-// is meant for the old one must not reach the new one, so an address belongs to the one that started last.
-void EngineDirectory::claim(const config::Endpoint& endpoint, const config::Member& member) {
-  auto& owner = owners_[endpoint];
+// Failure: a new engine gets the address of one that has gone, listed before or after the end of the old one.
+// Symptom: the new engine receives what is meant for the old one. Guard: an address belongs to the engine
+// that started last.
+void EngineDirectory::claim_endpoint(const config::Endpoint& endpoint, const config::Member& member) {
+  auto& owner = uid_of_endpoint_[endpoint];
   const auto holder = engines_.find(owner);
   const bool held = holder != engines_.end() && holder->second.state == policy::EngineState::up &&
                     holder->second.endpoint == endpoint;
   if (!held || holder->second.boot_ms <= member.boot_ms) owner = member.uid;
 }
 
-std::size_t EngineDirectory::listed() const {
+std::size_t EngineDirectory::listed_count() const {
   return static_cast<std::size_t>(std::count_if(engines_.begin(), engines_.end(), [](const auto& known) {
     return known.second.state != policy::EngineState::gone;
   }));
@@ -98,8 +100,8 @@
 const EngineRecord* EngineDirectory::find_available(const std::string& uid) const {
   const auto it = engines_.find(uid);
   if (it == engines_.end() || it->second.state != policy::EngineState::up) return nullptr;
-  const auto owner = owners_.find(it->second.endpoint);
-  return owner != owners_.end() && owner->second == uid ? &it->second : nullptr;
+  const auto owner = uid_of_endpoint_.find(it->second.endpoint);
+  return owner != uid_of_endpoint_.end() && owner->second == uid ? &it->second : nullptr;
 }
 
 }  // namespace yokestream::dispatch
--- a/src/dispatch/engine_directory.h
+++ b/src/dispatch/engine_directory.h
@@ -1,4 +1,6 @@
-// The engines that the feed has named, and where each of them is.
+// The engines that the engine list has named, and the address of each.
+//
+// Owns one record an engine, until 60 s after it is gone. One thread.
 #pragma once
 
 #include <functional>
@@ -25,16 +27,17 @@
  public:
   using FromUnix = EngineStartTimes::FromUnix;
   EngineDirectory(const config::RealSettings& names, FromUnix from_unix)
-      : names_(names), starts_(std::move(from_unix)) {}
-
-  // Takes in an event and returns it as the module is to hear it.
-  policy::EngineList apply(Time now, const config::MembersEvent& event, bool remembered);
-  // Drops what is known of engines that went long ago.
-  void forget(Time now);
-  // Of all engines that are up; a kind that is not told of counts for nothing.
+      : names_(names), start_times_(std::move(from_unix)) {}
+
+  // Applies a watch event and returns it for the decision module. `cached`: the list is from before this
+  // process watched it.
+  policy::EngineList apply(Time now, const config::MembersEvent& event, bool cached);
+  // Forgets engines that have been gone for long.
+  void forget_gone(Time now);
+  // Of all engines that are up; one of an unknown kind counts as 0.
   double cores_up(const std::vector<policy::KindSettings>& kinds) const;
-  std::size_t known() const { return engines_.size(); }
-  std::size_t listed() const;  // those that the list names: up or draining
+  std::size_t known_count() const { return engines_.size(); }
+  std::size_t listed_count() const;  // up or draining
 
   bool has(const std::string& uid) const { return engines_.count(uid) > 0; }
   // nullptr: nothing may be sent there, as it is not up or its address has gone to another.
@@ -42,12 +45,12 @@
 
  private:
   void note_gone(EngineRecord& record, Time now);
-  void claim(const config::Endpoint& endpoint, const config::Member& member);
+  void claim_endpoint(const config::Endpoint& endpoint, const config::Member& member);
 
   const config::RealSettings& names_;
   std::map<std::string, EngineRecord> engines_;
-  std::map<config::Endpoint, std::string> owners_;  // who was last named at an address
-  EngineStartTimes starts_;
+  std::map<config::Endpoint, std::string> uid_of_endpoint_;  // the engine that an address belongs to
+  EngineStartTimes start_times_;
 };
 
 }  // namespace yokestream::dispatch
--- a/src/dispatch/service_lifecycle.h
+++ b/src/dispatch/service_lifecycle.h
@@ -1,21 +1,23 @@
-// Whether this process takes clients, and how it lets them go: a planned restart, a drain by the operators,
-// and the way back. The one home of these states; everything else asks.
+// Whether this process serves clients, and how it lets them go: a graceful shutdown, draining by the
+// operators, and the way back. Owns these states; everything else asks.
 //
-//   state      evacuate    activate     leave     in time
-//   ready      draining    -            leaving   -
-//   draining   -           returning    leaving   drained, at kDrainServes
-//   drained    -           returning    leaving   -
-//   returning  draining    -            leaving   ready, once nothing is being closed or at kReturnWithin
-//   leaving    -           -            -         -
+//   state          start_draining  resume     begin_shutdown  in time
+//   ready          draining        -          shutting_down   -
+//   draining       -               returning  shutting_down   drained, after kDrainingServes
+//   drained        -               returning  shutting_down   -
+//   returning      draining        -          shutting_down   ready, once nothing is being closed or after
+//                                                             kMaxReturn
+//   shutting_down  -               -          -               -
 //
-//              says yes    accepts     takes requests             closes idle connections
-//   ready      yes         yes         yes                        no
-//   draining   no          yes         yes                        yes
-//   drained    no          yes         no: refused at once        yes
-//   returning  no          yes         yes                        no
-//   leaving    no          until listen_until, until accept_until, from close_from on
+//                  ready  accepts connections  accepts requests           closes idle connections
+//   ready          yes    yes                  yes                        no
+//   draining       no     yes                  yes                        yes
+//   drained        no     yes                  no: rejected at once       yes
+//   returning      no     yes                  yes                        no
+//   shutting_down  no     until listen_until_  until                      from close_idle_from_ on
+//                                              accept_requests_until_
 //
-// Pure: told events with a time, which never runs backwards. One thread at a time.
+// Pure: every call has a time, which never runs backwards. One thread.
 #pragma once
 
 #include "dispatch/ports.h"
@@ -28,33 +30,38 @@
 
   void start_draining(Time now);
   void resume(Time now);
-  // A planned restart. Told again, it only hears of a successor that came late. With a successor, which
-  // shares the listener, nothing more is accepted here, and what comes on open connections is served for as
-  // long as `most` allows: the time after which the process may be killed.
-  void begin_shutdown(Time now, bool successor, Duration most);
-  void tick(Time now, bool closing);  // closing: some connection is being closed
+  // A planned restart. Repeated, it only takes in a successor that came late. With a successor, which shares
+  // the listener, no connection is accepted any more, and what comes on open ones is served for as long as
+  // `max_duration` allows: the time after which the process may be killed.
+  void begin_shutdown(Time now, bool has_successor, Duration max_duration);
+  void tick(Time now, bool closing);  // `closing`: whether some connection is being closed
 
   State state() const { return state_; }
   bool is_shutting_down() const { return state_ == State::shutting_down; }
   bool is_ready() const { return state_ == State::ready; }
   bool accepts_connections(Time now) const { return now < listen_until_; }
-  bool accepts_requests(Time now) const { return state_ != State::drained && now < accept_until_; }
+  bool accepts_requests(Time now) const { return state_ != State::drained && now < accept_requests_until_; }
   bool closes_idle_connections(Time now) const {
-    return state_ == State::draining || state_ == State::drained || now >= close_from_;
+    return state_ == State::draining || state_ == State::drained || now >= close_idle_from_;
   }
-  // Leaving: what was accepted last has been heard of by now, so that nothing is owed that nobody knows.
-  bool may_exit(Time now) const { return now >= end_from_; }
-  Time shutdown_deadline() const {
-    return end_by_;
-  }  // leaving: nothing is open from then on; else Time::max()
+  // Shutting down: the core has the events of what was accepted last, so nothing unknown to it is owed.
+  bool may_exit(Time now) const { return now >= may_exit_from_; }
+  // Nothing is open from then on; Time::max(): not shutting down.
+  Time shutdown_deadline() const { return shutdown_deadline_; }
 
  private:
-  void enter(State state, Time now) { state_ = state, since_ = now; }
+  void enter(State state, Time now) {
+    state_ = state;
+    entered_at_ = now;
+  }
 
   State state_ = State::ready;
-  Time since_{};
-  Time listen_until_ = Time::max(), accept_until_ = Time::max(), close_from_ = Time::max();
-  Time end_by_ = Time::max(), end_from_ = Time::max();
+  Time entered_at_{};
+  Time listen_until_ = Time::max();
+  Time accept_requests_until_ = Time::max();
+  Time close_idle_from_ = Time::max();
+  Time shutdown_deadline_ = Time::max();
+  Time may_exit_from_ = Time::max();
 };
 
 }  // namespace yokestream::dispatch
--- a/tests/node/config_test.cpp
+++ b/tests/node/config_test.cpp
@@ -62,10 +62,10 @@
   directory.apply(now, event("true", member("e1", 9)), false);
   CHECK(up("e1"));
   CHECK_FALSE(up("e2"));
-  directory.forget(now + 50s);
-  CHECK(directory.known() == 2);
-  directory.forget(now + 61s);
-  CHECK(directory.known() == 1);
+  directory.forget_gone(now + 50s);
+  CHECK(directory.known_count() == 2);
+  directory.forget_gone(now + 61s);
+  CHECK(directory.known_count() == 1);
   CHECK(up("e1"));
 }
 
--- a/tests/node/manager_test.cpp
+++ b/tests/node/manager_test.cpp
@@ -57,7 +57,7 @@
   CHECK(to(1).size() + to(2).size() == 0);
   // Who ended it is told, so that a lost answer can be traced.
   CHECK(std::count(notes.begin(), notes.end(),
-                   "a client connection ended with 1 requests open: broken off here") == 1);
+                   "client connection closed: open_requests=1 cause=\"broken off here\"") == 1);
 }
 
 TEST_CASE_FIXTURE(Fixture, "a request still queued when its engine drains is taken back, not written late") {
--- a/tests/node/net_crossing_test.cpp
+++ b/tests/node/net_crossing_test.cpp
@@ -209,7 +209,7 @@
       leaves.say(call(1, "0123456789abcde1", "select 1") + probe(2));
       REQUIRE(leaves.until("\xc3"));  // answered in order: the request waits for its connection
     }
-    log.until("ended with 1 requests open");
+    log.until("client connection closed: open_requests=1 ");
     engine.full.clear();
     stays.say(call(1, "0123456789abcde2", "select 2"));
     std::vector<std::unique_ptr<Peer>> links;
--- a/tests/node/net_faults_test.cpp
+++ b/tests/node/net_faults_test.cpp
@@ -67,7 +67,9 @@
     ask_through(seed, engine, running);
     passing_failures = 0;
     CHECK(failures_met > before + 50);
-    CHECK(running.log.times("requests open") == 0);  // no client was closed upon what it had open
+    // No client was closed upon what it had open.
+    CHECK(running.log.times("requests open") == 0);
+    CHECK(running.log.times("open_requests=") == 0);
   }
 }
 
--- a/tests/node/sessions_test.cpp
+++ b/tests/node/sessions_test.cpp
@@ -29,32 +29,32 @@
   dispatch::ClientSessions sessions({4, 32, 8, 2s, 6s, 1s, 3});
   const auto id = [](int n) { return dispatch::SessionId(n); };
   const Time at{1000s};
-  for (int n = 1; n <= 3; ++n) CHECK_FALSE(sessions.begin(at + n * 1ms, id(n)).has_value());
-  sessions.opened(at, id(1));
-  sessions.served(at, id(2));
-  CHECK((sessions.begin(at, id(4)) == id(3)));
-  sessions.end(id(3));
-  CHECK((sessions.begin(at, id(5)) == id(4)));
-  CHECK((sessions.begin(at, id(6)) == id(5)));
-  sessions.keep(id(4));  // something had come from it
-  CHECK((sessions.begin(at, id(7)) == id(4)));
+  for (int n = 1; n <= 3; ++n) CHECK_FALSE(sessions.add(at + n * 1ms, id(n)).has_value());
+  sessions.on_request_opened(at, id(1));
+  sessions.on_result_sent(at, id(2));
+  CHECK((sessions.add(at, id(4)) == id(3)));
+  sessions.remove(id(3));
+  CHECK((sessions.add(at, id(5)) == id(4)));
+  CHECK((sessions.add(at, id(6)) == id(5)));
+  sessions.keep_open(id(4));  // something had come from it
+  CHECK((sessions.add(at, id(7)) == id(4)));
 }
 
 TEST_CASE("a client that is answered often and never served floods, and without new ones the idle still go") {
   dispatch::ClientSessions sessions({4, 32, 8, 2s, 6s, 1s, 3});
   const auto id = [](int n) { return dispatch::SessionId(n); };
   const Time at{1000s};
-  for (int n = 1; n <= 3; ++n) sessions.begin(at, id(n));
-  sessions.served(at, id(1));
-  for (int n = 0; n < 5; ++n) CHECK_FALSE(sessions.answered(at, id(1)));
-  CHECK_FALSE(sessions.answered(at, id(2)));
-  CHECK_FALSE(sessions.answered(at, id(2)));
-  sessions.opened(at, id(2));
-  CHECK_FALSE(sessions.answered(at, id(2)));  // what is open is owed its answer first
-  sessions.closed(at, id(2));
-  CHECK(sessions.answered(at, id(2)));
-  sessions.opened(at, id(3));
-  CHECK((sessions.overdue(at, std::nullopt) == std::vector{id(2)}));
+  for (int n = 1; n <= 3; ++n) sessions.add(at, id(n));
+  sessions.on_result_sent(at, id(1));
+  for (int n = 0; n < 5; ++n) CHECK_FALSE(sessions.on_response_sent(at, id(1)));
+  CHECK_FALSE(sessions.on_response_sent(at, id(2)));
+  CHECK_FALSE(sessions.on_response_sent(at, id(2)));
+  sessions.on_request_opened(at, id(2));
+  CHECK_FALSE(sessions.on_response_sent(at, id(2)));  // what is open is owed its answer first
+  sessions.on_request_closed(at, id(2));
+  CHECK(sessions.on_response_sent(at, id(2)));
+  sessions.on_request_opened(at, id(3));
+  CHECK((sessions.take_idle(at, std::nullopt) == std::vector{id(2)}));
 }
 
 }  // namespace
--- a/tests/node/start_times_test.cpp
+++ b/tests/node/start_times_test.cpp
@@ -16,7 +16,7 @@
   EngineStartTimes starts{[this](std::int64_t ms) { return Time(Duration(ms * 1000000)) - off; }};
   static std::int64_t wall_ms(Time time) { return time.time_since_epoch() / 1ms; }
   Time told(const std::string& uid, Time started, bool news = true) {
-    return starts.started(now, uid, wall_ms(started), news);
+    return starts.start_time(now, uid, wall_ms(started), news);
   }
 };
 
