--- a/tests/node/dialing_test.cpp
+++ b/tests/node/dialing_test.cpp
@@ -1,4 +1,5 @@
-// From the module's choice to a link: lacks on this machine, and clients that have gone unseen.
+// From the decision module's choice to a connection: lacks on this machine, and clients whose disconnect was
+// not handled yet.
 #include <doctest/doctest.h>
 
 #include "core_fixture.h"
@@ -6,16 +7,16 @@
 namespace yokestream::test {
 namespace {
 
-struct Dialing : Fixture {
-  void no_link() { hear(dispatch::EngineDisconnected{only().link, "no port", true}); }
+struct Connecting : Fixture {
+  void fail_locally() { hear(dispatch::EngineDisconnected{only().link, "no port", true}); }
   long sends() const { return count("req 0000000000000001"); }
 };
 
-TEST_CASE_FIXTURE(Dialing,
-                  "a lack on this machine is dialed again as the same attempt, past the most attempts") {
+TEST_CASE_FIXTURE(Connecting,
+                  "a lack on this machine reconnects the same attempt, also past the maximum of attempts") {
   arrive(1, 1);  // one that must not run twice
   for (int i = 0; i < 10; ++i) {
-    no_link();
+    fail_locally();
     pass(10ms);
   }
   CHECK(sends() == 11);
@@ -25,11 +26,11 @@
 }
 
 TEST_CASE_FIXTURE(
-    Dialing,
-    "a lack that lasts is told as never sent: the request is refused, and the engine is not avoided") {
+    Connecting,
+    "a lack that lasts counts as never sent: the request is rejected, and the engine not ejected") {
   arrive(1);
   for (int i = 0; i < 400 && to(1).empty(); ++i) {
-    if (!out.empty()) no_link();
+    if (!out.empty()) fail_locally();
     pass(10ms);
   }
   REQUIRE_FALSE(to(1).empty());
@@ -37,32 +38,34 @@
   CHECK(core.metrics().text().find("engines_excluded:0") != std::string::npos);
 }
 
-TEST_CASE_FIXTURE(Dialing, "who leaves, or runs out of time, while it is dialed again is sent to nobody") {
+TEST_CASE_FIXTURE(Connecting, "a request cancelled or out of time while it reconnects is not sent") {
   arrive(1);
-  no_link();
+  fail_locally();
   hear(dispatch::RequestCancelled{dispatch::SessionId{1}, 1});
   pass(1s);
   CHECK(sends() == 1);
   CHECK(core.open_requests() == 0);
   arrive(2, 0, 200ms);
-  no_link();
+  fail_locally();
   pass(1s);
   CHECK(to(2).size() == 1);
 }
 
-TEST_CASE_FIXTURE(Dialing, "an engine that drains while it is dialed again gets nothing") {
+TEST_CASE_FIXTURE(Connecting, "an engine that drains while an attempt reconnects gets nothing") {
   arrive(1);
-  no_link();
+  fail_locally();
   list(R"({"uid":"e1","az":"z","model":"m","state":"draining"})");
   pass(1s);
   CHECK(sends() == 1);
 }
 
-// What the module holds may wait for seconds; the word that its client has gone may still be unread.
-TEST_CASE_FIXTURE(Dialing,
-                  "what is held is not sent once its client has closed, though nobody has read that yet") {
+// A request may be queued in the decision module for seconds. Its client closes the connection meanwhile, and
+// the event of that is not handled yet: no engine may get work for nobody.
+TEST_CASE_FIXTURE(
+    Connecting,
+    "what is queued is not sent once its client has closed, before the event of that is handled") {
   arrive(1);
-  answer(written(), ResponseType::overloaded);  // it waits before it tries again
+  answer(written(), ResponseType::overloaded);  // it waits before its retry
   gone.insert(dispatch::SessionId{1});
   pass(3s);
   CHECK(sends() == 1);
@@ -71,7 +74,7 @@
   hear(dispatch::SessionClosed{dispatch::SessionId{1}});
 }
 
-TEST_CASE_FIXTURE(Dialing, "a session of which nothing more is read is finished once it owes nothing") {
+TEST_CASE_FIXTURE(Connecting, "a stalled session is closed after its responses once nothing is open on it") {
   arrive(1);
   const auto first = written();
   hear(dispatch::SessionStalled{dispatch::SessionId{1}});
--- a/tests/node/manager_random_test.cpp
+++ b/tests/node/manager_random_test.cpp
@@ -1,4 +1,4 @@
-// The core through random days, against what is owed and what is out.
+// The dispatcher through random events, against a model of what is owed and what is in flight.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -10,12 +10,12 @@
 
 // Random steps against a model: one answer for each request not given up, and never two attempts of one at
 // once.
-TEST_CASE("whatever happens, each request gets one answer and never has two attempts out") {
+TEST_CASE("through random events each request gets one answer and never has two attempts in flight") {
   for (std::uint32_t seed = 1; seed <= 60; ++seed) {
     Steps steps(seed);
     Fixture f;
     std::set<dispatch::CallId> given_up;
-    std::map<std::string, int> attempts;  // out, by request
+    std::map<std::string, int> attempts;  // in flight, by request
     dispatch::CallId calls = 0;
     std::size_t seen = 0;
     for (int i = 0; i < 300; ++i) {
@@ -63,7 +63,7 @@
 
 // Clients, connections and engines come and go at random, an engine at the address of one that has gone among
 // them. A session's answers are owed from its request to its end.
-TEST_CASE("through any churn each request taken has one answer by its deadline, unless its client has left") {
+TEST_CASE("through any churn each accepted request has one answer by its deadline, unless its client left") {
   for (std::uint32_t seed = 1; seed <= 60; ++seed) {
     CAPTURE(seed);
     Steps steps(seed);
--- a/tests/node/manager_test.cpp
+++ b/tests/node/manager_test.cpp
@@ -7,7 +7,7 @@
 namespace yokestream::test {
 namespace {
 
-TEST_CASE_FIXTURE(Fixture, "a result of several pages is fetched, ended and passed on in order") {
+TEST_CASE_FIXTURE(Fixture, "a result of several pages is fetched, released and sent in order") {
   arrive(1);
   const Out o = written();
   answer(o, ResponseType::result, 3, 0, "a\t1\t\n");
@@ -21,7 +21,7 @@
   CHECK(budget.reserved() == 0);
 }
 
-TEST_CASE_FIXTURE(Fixture, "a lost page means that it may have run: what must not run twice fails") {
+TEST_CASE_FIXTURE(Fixture, "a lost page fails a request that is not idempotent, as it may have run") {
   arrive(1, 1);
   const Out o = written();
   answer(o, ResponseType::result, 2, 0, "a\tb\tc\n");
@@ -33,7 +33,7 @@
 }
 
 TEST_CASE_FIXTURE(Fixture,
-                  "at the deadline the attempt is stopped, the client answered, a late answer dropped") {
+                  "at the deadline the attempt is cancelled, the client answered, a late response dropped") {
   arrive(1, 1, 1s);
   const Out o = written();
   pass(1s);
@@ -44,7 +44,8 @@
   CHECK(to(1).size() == 1);
 }
 
-TEST_CASE_FIXTURE(Fixture, "a client that leaves is owed nothing, and what is out for it is stopped") {
+TEST_CASE_FIXTURE(Fixture,
+                  "a client that disconnects gets no answer, and what is in flight for it is cancelled") {
   arrive(1);
   const Out first = written();
   hear(dispatch::RequestCancelled{dispatch::SessionId{1}, 1});
@@ -55,12 +56,12 @@
   CHECK(count("stop " + first.id) == 1);
   CHECK(count("stop " + second.id) == 1);
   CHECK(to(1).size() + to(2).size() == 0);
-  // Who ended it is told, so that a lost answer can be traced.
+  // The cause is in the log, so that a lost answer can be traced.
   CHECK(std::count(notes.begin(), notes.end(),
                    "client connection closed: open_requests=1 cause=\"broken off here\"") == 1);
 }
 
-TEST_CASE_FIXTURE(Fixture, "a request still queued when its engine drains is taken back, not written late") {
+TEST_CASE_FIXTURE(Fixture, "a request still queued when its engine drains is withdrawn, not written late") {
   arrive(1);
   list(R"({"uid":"e1","endpoint":"127.0.0.1:7001","az":"z","model":"m","state":"draining"})");
   CHECK(out.empty());
@@ -69,7 +70,7 @@
 }
 
 TEST_CASE_FIXTURE(Fixture,
-                  "after a reset what must not run twice fails; after a refused connection it may go again") {
+                  "what is not idempotent fails after a reset, and is retried after a refused connection") {
   arrive(1, 1);
   hear(dispatch::EngineDisconnected{only().link, "refused"});
   pass(1s);
@@ -82,7 +83,8 @@
   CHECK(to(1)[0].kind == "failed");
 }
 
-TEST_CASE_FIXTURE(Fixture, "told to leave, it still serves for a while and ends when nothing is owed") {
+TEST_CASE_FIXTURE(Fixture,
+                  "in a graceful shutdown it serves for a while and completes when nothing is owed") {
   arrive(1);
   const Out o = written();
   hear(dispatch::BeginShutdown{});
@@ -101,8 +103,7 @@
   CHECK(core.shutdown_complete(now));
 }
 
-TEST_CASE_FIXTURE(Fixture,
-                  "a flooding client is not closed while something of it is on the way, then it is") {
+TEST_CASE_FIXTURE(Fixture, "a flooding client is closed once nothing of it is on the way, not before") {
   busy.insert(dispatch::SessionId(1));  // its next request is read, or waits in the inbox
   for (dispatch::CallId call = 1; call <= 70; ++call) arrive(call, 0, 0s);  // each late: failed at once
   CHECK(count("close 1") == 0);
@@ -112,8 +113,7 @@
   CHECK(count("close 1") == 1);
 }
 
-TEST_CASE_FIXTURE(
-    Fixture, "a client whose first request no engine can use is failed at once, without a second attempt") {
+TEST_CASE_FIXTURE(Fixture, "a client whose first request no engine can run fails at once, without a retry") {
   arrive(1);
   answer(written(), ResponseType::failed);
   REQUIRE(to(1).size() == 1);
@@ -131,7 +131,7 @@
   CHECK(count("req 0000000000000004") == 2);
 }
 
-TEST_CASE_FIXTURE(Fixture, "an id in use is not taken again, whoever sends it") {
+TEST_CASE_FIXTURE(Fixture, "a request id in use is not accepted again from any client") {
   arrive(1);
   arrive(1, 0, 4s, 1);
   CHECK(count("close 1") == 1);
@@ -140,8 +140,8 @@
   CHECK(to(1, 2)[0].kind == "failed");
 }
 
-TEST_CASE_FIXTURE(
-    Fixture, "rows that are no rows are never passed on: the connection goes, and the request goes again") {
+TEST_CASE_FIXTURE(Fixture,
+                  "corrupt rows are never sent: the connection is closed, and the request is retried") {
   for (const std::string rows : {"a\tb\n", "a\tb\tc", "a\tb\tc\n\n", "a\t\x01\tc\n"}) {
     Fixture f;
     f.arrive(1);
@@ -155,8 +155,7 @@
 }
 
 TEST_CASE_FIXTURE(
-    Fixture,
-    "each attempt has a connection of its own, and a connection that is silent is asked, then closed") {
+    Fixture, "each attempt has a connection of its own, and a silent connection is pinged, then closed") {
   arrive(1, 1);
   const Out first = written();
   arrive(2, 1);
@@ -172,8 +171,7 @@
   CHECK(to(2)[0].kind == "failed");
 }
 
-TEST_CASE_FIXTURE(
-    Fixture, "told to leave, whatever is open has its answer before the end, and may be asked elsewhere") {
+TEST_CASE_FIXTURE(Fixture, "in a graceful shutdown whatever is open is answered by the deadline") {
   hear(dispatch::BeginShutdown{});
   arrive(1);
   written();
--- a/tests/node/routing_test.cpp
+++ b/tests/node/routing_test.cpp
@@ -51,7 +51,7 @@
   std::string told(dispatch::CallId call) { return to(call).empty() ? "nothing" : to(call)[0].kind; }
 };
 
-TEST_CASE_FIXTURE(Routed, "an area that a duty may touch is closed until a table has come; others are not") {
+TEST_CASE_FIXTURE(Routed, "a movable area is closed until a routing table has come; others are open") {
   look(1);
   load(2);
   CHECK(told(1) == "refused");
@@ -66,8 +66,7 @@
   CHECK(out.size() == 3);
 }
 
-TEST_CASE_FIXTURE(Routed,
-                  "a share of what may be repeated moves, by the request; loads stay where they are") {
+TEST_CASE_FIXTURE(Routed, "a share of idempotent requests moves, by request; loads stay where they are") {
   route(0, Rule::kAllRequests / 4, Rule::Loads::from);
   int moved = 0;
   for (dispatch::CallId call = 1; call <= 400; ++call) {
@@ -131,7 +130,7 @@
   CHECK(count("req " + first.id) == 1);
 }
 
-TEST_CASE_FIXTURE(Routed, "what waits in the module is refused at once when its area closes") {
+TEST_CASE_FIXTURE(Routed, "what is queued in the decision module is rejected at once when its area closes") {
   route(0, 0, Rule::Loads::from, 500ms);
   load(1);
   const Out first = written();
@@ -190,8 +189,8 @@
   CHECK(all.register_engine(member) == 7);
 }
 
-TEST_CASE_FIXTURE(Routed,
-                  "an attempt whose grant ends before it has left is over as never sent, and may go again") {
+TEST_CASE_FIXTURE(
+    Routed, "an attempt whose lease ends before it was written ends as never sent, and may be retried") {
   grant(1s);
   load(1);  // a load: it may not run twice
   const auto first = only().id;
--- a/tests/node/service_test.cpp
+++ b/tests/node/service_test.cpp
@@ -27,7 +27,7 @@
   }
 };
 
-TEST_CASE("the service states follow their table, whatever is told and when") {
+TEST_CASE("the service states follow their table through random calls and times") {
   for (std::uint32_t seed = 1; seed <= 50; ++seed) {
     Steps steps(seed);
     ServiceLifecycle service;
@@ -56,8 +56,7 @@
   return std::find(c.said.begin(), c.said.end(), what) != c.said.end();
 }
 
-TEST_CASE(
-    "a drain closes what is idle at once, what is in use after its last answer, and refuses what is late") {
+TEST_CASE("draining closes idle sessions at once, others after their last answer, and rejects late ones") {
   Core c(config::decode_config(config_text()));
   c.hear(dispatch::SessionOpened{dispatch::SessionId{2}});
   c.arrive(1, 0, 4s, 2);
@@ -87,8 +86,7 @@
   CHECK(said(c, "close 3"));
 }
 
-TEST_CASE(
-    "after a drain, or in the middle of one, yes is back within two seconds; a restart stays a restart") {
+TEST_CASE("resuming, also while draining, is ready within two seconds; a shutdown stays a shutdown") {
   Core c(config::decode_config(config_text()));
   for (const Duration when : {0ms, 500ms, 3000ms}) {
     c.hear(dispatch::StartDraining{});
@@ -107,8 +105,7 @@
   CHECK(c.core.lifecycle().is_shutting_down());
 }
 
-TEST_CASE(
-    "beside a successor the restart accepts nobody, closes the idle, and serves on for as long as it may") {
+TEST_CASE("with a successor a shutdown accepts no connection, closes idle ones, and serves what is open") {
   Core c(config::decode_config(config_text()));
   c.arrive(1);
   c.answer(c.written(), ResponseType::result, 1, 0, "a\tb\tc\n");
@@ -142,7 +139,7 @@
 }
 
 // Random days: what the figures say is what clients and engines counted.
-TEST_CASE("the figures are what the clients heard and what is open, on random days") {
+TEST_CASE("through random events the metrics are what clients received and what is open") {
   for (std::uint32_t seed = 1; seed <= 30; ++seed) {
     Steps steps(seed);
     Core c(config::decode_config(config_text()));
@@ -178,7 +175,7 @@
   }
 }
 
-TEST_CASE("the operators' words come in any pieces; all else is a bad call with its reason") {
+TEST_CASE("the operators' words may come in any pieces; all else is a bad call with its cause") {
   const auto read = [](std::string_view bytes, Steps& steps) {
     protocol::ManagementReader reader;
     while (!bytes.empty()) {
--- a/tests/node/sessions_test.cpp
+++ b/tests/node/sessions_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 TEST_CASE_FIXTURE(Fixture,
-                  "a client that asks for nothing is closed, one with something open or on its way is not") {
+                  "a client without a request is closed, one with something open or on its way is not") {
   const auto session = [](int n) { return dispatch::SessionId(n); };
   arrive(1);
   for (const int n : {2, 3}) hear(dispatch::SessionOpened{session(n)});
@@ -25,7 +25,7 @@
   CHECK(count("close 3") == 1);
 }
 
-TEST_CASE("when connections run short, who was never answered goes first, and who has something open stays") {
+TEST_CASE("as connections run short, one never served is closed first, one with open requests never") {
   dispatch::ClientSessions sessions({4, 32, 8, 2s, 6s, 1s, 3});
   const auto id = [](int n) { return dispatch::SessionId(n); };
   const Time at{1000s};
@@ -40,7 +40,7 @@
   CHECK((sessions.add(at, id(7)) == id(4)));
 }
 
-TEST_CASE("a client that is answered often and never served floods, and without new ones the idle still go") {
+TEST_CASE("a client answered often and never served floods; idle ones are closed without new ones too") {
   dispatch::ClientSessions sessions({4, 32, 8, 2s, 6s, 1s, 3});
   const auto id = [](int n) { return dispatch::SessionId(n); };
   const Time at{1000s};
--- a/tests/node/start_times_test.cpp
+++ b/tests/node/start_times_test.cpp
@@ -15,35 +15,34 @@
   Duration off{};
   EngineStartTimes starts{[this](std::int64_t ms) { return Time(Duration(ms * 1000000)) - off; }};
   static std::int64_t wall_ms(Time time) { return time.time_since_epoch() / 1ms; }
-  Time told(const std::string& uid, Time started, bool news = true) {
+  Time listed(const std::string& uid, Time started, bool news = true) {
     return starts.start_time(now, uid, wall_ms(started), news);
   }
 };
 
-TEST_CASE_FIXTURE(Clocks, "with a good clock a start is what was told") {
-  CHECK(told("a", now - 3s) == now - 3s);
-  CHECK(told("b", now - 1h, false) == now - 1h);
+TEST_CASE_FIXTURE(Clocks, "with a good clock a start is as listed") {
+  CHECK(listed("a", now - 3s) == now - 3s);
+  CHECK(listed("b", now - 1h, false) == now - 1h);
 }
 
-TEST_CASE_FIXTURE(Clocks, "a clock that is stepped after a start was told makes no restart of it") {
-  const Time first = told("a", now - 3s);
+TEST_CASE_FIXTURE(Clocks, "a clock stepped after a start was listed makes no restart of it") {
+  const Time first = listed("a", now - 3s);
   for (const Duration step : {Duration(1h), Duration(-2h), Duration(1s), Duration(-1s)}) {
     off += step;
-    CHECK(told("a", Time(100000s) - 3s) == first);
+    CHECK(listed("a", Time(100000s) - 3s) == first);
   }
 }
 
-TEST_CASE(
-    "news of a start is believed within seconds; else, and in the future, the engine has just started") {
+TEST_CASE("a change is believed within seconds; else, and in the future, the engine has just started") {
   for (const Duration step : {Duration(1h), Duration(-1h)}) {
     Clocks clocks;
     clocks.off = step;  // wrong before this process began, which it can't know
     clocks.starts = EngineStartTimes([step](std::int64_t ms) { return Time(Duration(ms * 1000000)) - step; });
-    CHECK(clocks.told("a", clocks.now - 3s) == clocks.now);
+    CHECK(clocks.listed("a", clocks.now - 3s) == clocks.now);
   }
 }
 
-TEST_CASE("whatever the clock does, no engine is taken for warmer than it is by more than a second's step") {
+TEST_CASE("no clock step makes an engine seem warmer than it is by more than a second") {
   for (std::uint32_t seed = 1; seed <= 50; ++seed) {
     Steps steps(seed);
     Clocks clocks;
@@ -54,15 +53,14 @@
         clocks.off += step[steps.below(4)];
       }
       const Time started = clocks.now - 1ms * static_cast<int>(steps.below(3000));
-      const Time taken = clocks.told("e" + std::to_string(i), started);
+      const Time taken = clocks.listed("e" + std::to_string(i), started);
       REQUIRE(taken <= clocks.now);
       REQUIRE(taken >= started - 1ms);
     }
   }
 }
 
-TEST_CASE(
-    "a list that the core hears under a stepped clock: the new engine is cold, the known ones stay as warm") {
+TEST_CASE("under a stepped clock a new engine is in slow start, and known ones stay as warm") {
   Duration off{};
   const config::Config config = config::decode_config(config_text());
   dispatch::EngineDirectory directory(config.real,
