--- /dev/null
+++ b/src/admin/admin_listener.cpp
@@ -0,0 +1,172 @@
+#include "admin/admin_listener.h"
+
+#include <fcntl.h>
+#include <sys/socket.h>
+
+#include <algorithm>
+#include <array>
+#include <cerrno>
+#include <system_error>
+#include <utility>
+
+namespace yokestream::admin {
+namespace {
+
+using net::Duration;
+using net::Time;
+
+constexpr Duration kConnectionTimeout = std::chrono::milliseconds(2000);  // a caller itself waits 1 s
+constexpr Duration kAcceptRetryDelay = std::chrono::milliseconds(20);     // while no descriptor is free
+constexpr std::size_t kReadBytes = 256;
+constexpr int kMaxReadsPerTurn = 8;  // of one connection; then the others have their turn
+
+}  // namespace
+
+// One caller: its request line is read, then the answer is written and the connection closed. The poller's
+// thread only.
+class AdminListener::Connection : public net::Watched {
+ public:
+  Connection(AdminListener& listener, net::Fd fd)
+      : listener_(listener), socket_(std::move(fd)), deadline_(net::now() + kConnectionTimeout) {}
+
+  int descriptor() const override { return socket_.descriptor(); }
+  Time due() const override { return deadline_; }
+  void end() override { listener_.remove_connection(this); }
+  void abort() { socket_.break_off(); }
+
+  Look look(Time now, bool) override {
+    if (now >= deadline_) return Look::ended;
+    if (!answered_ && !read_request()) return Look::ended;
+    if (!answered_) return Look::again;
+    const auto written = socket_.write_now(unsent_answer_);
+    if (!written) return Look::ended;
+    unsent_answer_.erase(0, *written);
+    return unsent_answer_.empty() ? Look::ended : Look::writable;
+  }
+
+ private:
+  // False: the caller closed the connection without a request.
+  bool read_request() {
+    std::array<char, kReadBytes> bytes;
+    for (int reads = 0; reads < kMaxReadsPerTurn; ++reads) {
+      const auto size = socket_.read_now(bytes.data(), bytes.size());
+      if (!size) break;
+      if (*size == 0) reader_.end();
+      reader_.feed({bytes.data(), *size});
+      const auto call = reader_.call();
+      if (!call && *size == 0) return false;
+      if (!call) continue;
+      unsent_answer_ = listener_.answer(*call);
+      answered_ = true;
+      break;
+    }
+    return true;
+  }
+
+  AdminListener& listener_;
+  net::Socket socket_;
+  const Time deadline_;
+  protocol::ManagementReader reader_;
+  std::string unsent_answer_;
+  bool answered_ = false;
+};
+
+// The listening socket. The poller's thread only.
+class AdminListener::Acceptor : public net::Watched {
+ public:
+  Acceptor(AdminListener& listener, const config::Endpoint& endpoint)
+      : fd_(net::listen_on(endpoint)), listener_(listener) {
+    if (::fcntl(fd_.get(), F_SETFL, O_NONBLOCK) != 0)
+      throw std::system_error(errno, std::generic_category(), "cannot accept admin connections");
+  }
+  const net::Fd& fd() const { return fd_; }
+  int descriptor() const override { return fd_.get(); }
+  Time due() const override { return retry_at_; }
+  void end() override {}
+
+  // Failure: no descriptor is free. Symptom: accept() fails at once, again and again, on a spinning thread.
+  // Guard: it is tried again after a delay; who waits is accepted then.
+  Look look(Time now, bool) override {
+    retry_at_ = Time::max();
+    for (std::size_t attempts = 0; attempts < kMaxConnections; ++attempts) {
+      net::Fd connection(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
+      if (connection) {
+        listener_.add_connection(std::move(connection));
+      } else if (errno == EAGAIN) {
+        return Look::again;
+      } else if (errno != EINTR && errno != ECONNABORTED) {
+        retry_at_ = now + kAcceptRetryDelay;
+        return Look::later;
+      }
+    }
+    return Look::again;  // the rest after the other connections have had their turn
+  }
+
+ private:
+  net::Fd fd_;
+  AdminListener& listener_;
+  Time retry_at_ = Time::max();
+};
+
+AdminListener::AdminListener(const config::Endpoint& endpoint, const figures::Figures& metrics,
+                             std::function<void()> on_first_ready)
+    : metrics_(metrics),
+      on_first_ready_(std::move(on_first_ready)),
+      acceptor_(std::make_shared<Acceptor>(*this, endpoint)),
+      poller_("operators") {
+  poller_.admit(acceptor_);
+}
+
+AdminListener::~AdminListener() = default;
+
+config::Endpoint AdminListener::endpoint() const { return net::local_endpoint(acceptor_->fd()); }
+
+// Failure: many callers connect and send nothing. Symptom: a caller with a request waits for their time
+// limits. Guard: at the bound the oldest unfinished connection is aborted, so a new one is always accepted.
+void AdminListener::add_connection(net::Fd fd) {
+  if (connections_.size() >= kMaxConnections) {
+    connections_.front()->abort();
+    connections_.pop_front();
+  }
+  connections_.push_back(std::make_shared<Connection>(*this, std::move(fd)));
+  poller_.admit(std::weak_ptr<net::Watched>(connections_.back()));
+}
+
+void AdminListener::remove_connection(const Connection* connection) {
+  std::erase_if(connections_, [&](const auto& open) { return open.get() == connection; });
+}
+
+// The texts of failures are read by the platform's staff: part of the wire.
+std::string AdminListener::answer_readyz() {
+  const ServingState state = state_;
+  if (drain_requested_ || state == ServingState::draining)
+    return protocol::encode_failure("clients are sent away");
+  if (state == ServingState::shutting_down) return protocol::encode_failure("this process ends");
+  if (state == ServingState::starting) return protocol::encode_failure("not ready yet");
+  if (!std::exchange(has_been_ready_, true)) on_first_ready_();
+  return protocol::encode_success();
+}
+
+std::string AdminListener::set_drain_requested(bool requested) {
+  if (state_ == ServingState::shutting_down) return protocol::encode_failure("this process ends");
+  drain_requested_ = requested;
+  return protocol::encode_success();
+}
+
+std::string AdminListener::answer(const protocol::ManagementCall& call) {
+  if (const auto* bad = std::get_if<protocol::BadManagementCall>(&call))
+    return protocol::encode_failure(bad->problem);
+  switch (std::get<protocol::ManagementWord>(call)) {
+    case protocol::ManagementWord::readyz:
+      return answer_readyz();
+    case protocol::ManagementWord::telemetry:
+      return protocol::encode_success(metrics_.text() + "EOT\n");
+    case protocol::ManagementWord::evacuate:
+      return set_drain_requested(true);
+    case protocol::ManagementWord::activate:
+      return set_drain_requested(false);
+  }
+  return protocol::encode_failure("an unknown call");
+}
+
+}  // namespace yokestream::admin
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -30,7 +30,7 @@
   const std::string management = environment("RELAY_MANAGEMENT"), listener = environment("RELAY_LISTEN_FD");
   if (!config.management && !management.empty())
     config.management = config::parse_endpoint("RELAY_MANAGEMENT", management);
-  if (config.management) config.limits.door = net::Management::kDescriptors;
+  if (config.management) config.limits.door = admin::AdminListener::kMaxDescriptors;
   if (config.fleet.on) config.limits.fleet = net::FleetKeeper::kDescriptors;
   if (listener.empty()) return;
   int fd = -1;
@@ -68,7 +68,7 @@
   bound_memory();
   Log log(both.operators.log);
   net::Server server(both.config, log);
-  const auto management = server.management();
+  const auto management = server.admin_endpoint();
   log.write(both.config.name + " serves on " + to_string(server.endpoint()) +
             (both.config.door.on ? " with the door on" : "") +
             (management ? ", operators on " + to_string(*management) : ""));
@@ -77,7 +77,7 @@
     if (signal == SIGHUP) reload(files, both.config.fleet, server, log);
   }
   log.write("told to end");
-  server.leave();
+  server.begin_shutdown();
   server.wait();
   log.write("ended");
   return 0;
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -24,7 +24,7 @@
   // How the descriptors are shared out. Usual clients hold a third of them at most; each connection also
   // costs its buffers, some 40 KB. Where two processes may stand beside each other, each has half of the
   // links and descriptors of its own, and the connections of clients are counted together
-  // (src/net/together.h).
+  // (src/upgrade/process_group.h).
   std::size_t links() const { return std::min(sockets / (3 * processes), memory_mb * 3); }
   std::size_t sessions() const {
     return std::min(sockets - processes * (links() + kOtherDescriptors + door + fleet), memory_mb * 6);
--- /dev/null
+++ b/src/net/client_port_adapter.h
@@ -0,0 +1,47 @@
+// The dispatcher's port to clients: owns the client connections that the dispatcher knows of, and forwards
+// its actions to them. A session that has ended meanwhile is skipped.
+//
+// The dispatcher's thread only.
+#pragma once
+
+#include <map>
+#include <memory>
+#include <string_view>
+
+#include "config/settings.h"
+#include "dispatch/ports.h"
+#include "net/client_session.h"
+
+namespace yokestream::net {
+
+class ClientPortAdapter : public dispatch::ClientPort {
+ public:
+  explicit ClientPortAdapter(const config::RealSettings& settings) : settings_(settings) {}
+
+  void add(dispatch::SessionId id, std::shared_ptr<ClientSession> session);
+  // The session, which is forgotten here; nullptr: there is none.
+  std::shared_ptr<ClientSession> remove(dispatch::SessionId id);
+  // Returns nullptr where there is none; valid until remove() or clear().
+  ClientSession* find(dispatch::SessionId id);
+  [[nodiscard]] bool empty() const { return sessions_.empty(); }
+  // Sessions that are owed nothing end once what is queued has been written.
+  void finish_settled_sessions();
+  void clear() { sessions_.clear(); }
+
+  void send_result(dispatch::SessionId id, dispatch::CallId call, dispatch::Result result) override;
+  void send_rejection(dispatch::SessionId id, dispatch::CallId call, Duration retry_after) override;
+  void send_failure(dispatch::SessionId id, dispatch::CallId call, std::string_view cause) override;
+  void send_readiness(dispatch::SessionId id, dispatch::CallId call, bool ready) override;
+  void attach_quote(dispatch::SessionId id, dispatch::CallId call, const queues::Quote& quote) override;
+  void send_quote(dispatch::SessionId id, dispatch::CallId call, const queues::Quote& quote) override;
+  void close(dispatch::SessionId id) override;
+  bool close_if_idle(dispatch::SessionId id) override;
+  void close_after_responses(dispatch::SessionId id) override;
+  bool has_disconnected(dispatch::SessionId id) override;
+
+ private:
+  const config::RealSettings& settings_;
+  std::map<dispatch::SessionId, std::shared_ptr<ClientSession>> sessions_;
+};
+
+}  // namespace yokestream::net
--- a/src/net/client_session.cpp
+++ b/src/net/client_session.cpp
@@ -22,8 +22,8 @@
 }  // namespace
 
 ClientSession::ClientSession(dispatch::SessionId id, Fd fd, dispatch::Reservation slot,
-                             const config::RealSettings& names, dispatch::Budget& budget, Inbox& inbox,
-                             Readers& readers, dispatch::Log& log)
+                             const config::RealSettings& names, dispatch::Budget& budget,
+                             DispatcherQueue& inbox, Readers& readers, dispatch::Log& log)
     : id_(id),
       slot_(std::move(slot)),
       names_(names),
--- a/src/net/client_session.h
+++ b/src/net/client_session.h
@@ -35,7 +35,7 @@
  public:
   // `slot` is its place among the connections that may be there; what it reads is taken from `budget`.
   ClientSession(dispatch::SessionId id, Fd fd, dispatch::Reservation slot, const config::RealSettings& names,
-                dispatch::Budget& budget, Inbox& inbox, Readers& readers, dispatch::Log& log);
+                dispatch::Budget& budget, DispatcherQueue& inbox, Readers& readers, dispatch::Log& log);
   ~ClientSession() override;  // breaks off and joins
 
   // For the lobby's thread.
@@ -89,7 +89,7 @@
   const dispatch::Reservation slot_;
   const config::RealSettings& names_;
   dispatch::Budget& budget_;
-  Inbox& inbox_;
+  DispatcherQueue& inbox_;
   Readers& readers_;
   dispatch::Log& log_;
   Socket socket_;
--- /dev/null
+++ b/src/net/dispatcher_loop.cpp
@@ -0,0 +1,175 @@
+#include "net/dispatcher_loop.h"
+
+#include <algorithm>
+#include <optional>
+#include <string>
+#include <type_traits>
+#include <utility>
+
+namespace yokestream::net {
+namespace {
+
+using admin::ServingState;
+using std::chrono::milliseconds;
+
+constexpr Duration kSlowIteration = milliseconds(40);
+constexpr Duration kSlowLogInterval = std::chrono::seconds(1);
+// For answers that are still queued at the end, as writers may be without processor time for a moment: all
+// share a part of one core. It ends before the kill, 3.7 s after the request to shut down.
+constexpr Duration kLastWriteTimeout = milliseconds(600);
+constexpr Duration kSettleInterval = milliseconds(10);  // between checks of sessions that are not settled
+
+// The session whose message it is, if a client sent it.
+std::optional<dispatch::SessionId> sender_of(const dispatch::Event& event) {
+  return std::visit(
+      [](const auto& e) -> std::optional<dispatch::SessionId> {
+        using E = std::decay_t<decltype(e)>;
+        if constexpr (std::is_same_v<E, dispatch::RequestReceived> ||
+                      std::is_same_v<E, dispatch::BadRequest> ||
+                      std::is_same_v<E, dispatch::RequestCancelled> ||
+                      std::is_same_v<E, dispatch::ProbeReceived>)
+          return e.session;
+        else if constexpr (std::is_same_v<E, dispatch::QuoteRequested>)
+          return e.request.session;
+        else
+          return std::nullopt;
+      },
+      event);
+}
+
+ServingState serving_state(const dispatch::ServiceLifecycle& lifecycle) {
+  if (lifecycle.is_shutting_down()) return ServingState::shutting_down;
+  return lifecycle.is_ready() ? ServingState::ready : ServingState::draining;
+}
+
+}  // namespace
+
+DispatcherLoop::DispatcherLoop(const Components& components)
+    : components_(components), dispatcher_(components.dispatcher) {
+  thread_ = Thread("dispatcher", kLargeStack, [this] { run(); });
+}
+
+bool DispatcherLoop::has_finished(Time now) const {
+  const Time deadline = dispatcher_.lifecycle().shutdown_deadline();
+  return dispatcher_.shutdown_complete(now) ||
+         (deadline != Time::max() && now >= deadline + kLastWriteTimeout);
+}
+
+void DispatcherLoop::run() {
+  while (true) {
+    const Time time = now();
+    if (has_finished(time)) break;
+    if (components_.listener && !dispatcher_.lifecycle().accepts_connections(time))
+      components_.session_reaper.retire(std::move(components_.listener));
+    apply_operator_requests();
+    if (components_.upgrade) components_.upgrade->tick();
+    if (components_.fleet_state) components_.fleet_state->tick();
+    run_iteration();
+  }
+  close_sessions();
+}
+
+// Failure: many events come at once, as when an engine dies. Symptom: answers that fall due meanwhile are
+// late. Guard: what is due happens after each event.
+void DispatcherLoop::run_iteration() {
+  auto events = components_.events.take_until(dispatcher_.next_due());
+  const Time began = now();
+  for (auto& event : events) {
+    handle(std::move(event));
+    dispatcher_.tick(now());
+  }
+  dispatcher_.tick(now());
+  log_if_slow(began, events.size());
+}
+
+// Answers are late when the loop falls behind. Logged once a second at most.
+void DispatcherLoop::log_if_slow(Time began, std::size_t event_count) {
+  const Time ended = now();
+  if (ended - began < kSlowIteration || ended < next_slow_log_) return;
+  next_slow_log_ = ended + kSlowLogInterval;
+  components_.log.write(
+      "dispatcher iteration slow: duration_ms=" + std::to_string((ended - began) / milliseconds(1)) +
+      " events=" + std::to_string(event_count) +
+      " open_requests=" + std::to_string(dispatcher_.open_requests()));
+}
+
+void DispatcherLoop::apply_operator_requests() {
+  if (!components_.admin) return;
+  const bool requested = components_.admin->drain_requested();
+  if (std::exchange(draining_requested_, requested) != requested) {
+    dispatcher_.handle(
+        now(), requested ? dispatch::Event(dispatch::StartDraining{}) : dispatch::Event(dispatch::Resume{}));
+    components_.log.write(requested ? "draining started: cause=\"operator request\""
+                                    : "draining stopped: cause=\"operator request\"");
+  }
+  components_.admin->publish(serving_state(dispatcher_.lifecycle()));
+}
+
+void DispatcherLoop::handle(DriverEvent event) {
+  if (auto* accepted = std::get_if<ClientAccepted>(&event)) {
+    components_.client_port.add(accepted->id, std::move(accepted->session));
+    dispatcher_.handle(now(), dispatch::SessionOpened{accepted->id, accepted->origin});
+  } else if (const auto* reloaded = std::get_if<ConfigurationReloaded>(&event)) {
+    dispatcher_.configure(now(), reloaded->door);
+    dispatcher_.configure(now(), reloaded->queues);
+    components_.discovery.watch(reloaded->feed);
+  } else if (const auto* grant = std::get_if<LoadGrantChanged>(&event)) {
+    if (components_.fleet_state) components_.fleet_state->on_load_grant_changed(*grant);
+  } else if (const auto* routes = std::get_if<RoutesChanged>(&event)) {
+    if (components_.fleet_state) components_.fleet_state->on_routes_changed(*routes);
+  } else {
+    handle(std::move(std::get<dispatch::Event>(event)));
+  }
+}
+
+void DispatcherLoop::handle(dispatch::Event event) {
+  if (components_.fleet_state && std::holds_alternative<dispatch::RequestReceived>(event))
+    components_.fleet_state->on_request_received();
+  if (auto* shutdown = std::get_if<dispatch::BeginShutdown>(&event)) prepare_shutdown(*shutdown);
+  const auto sender = sender_of(event);
+  std::optional<dispatch::SessionId> closed_session;
+  std::optional<dispatch::EngineConnectionId> closed_connection;
+  if (const auto* closed = std::get_if<dispatch::SessionClosed>(&event)) closed_session = closed->session;
+  if (const auto* lost = std::get_if<dispatch::EngineDisconnected>(&event))
+    closed_connection = lost->connection;
+
+  dispatcher_.handle(now(), std::move(event));
+
+  if (closed_session) {
+    if (auto session = components_.client_port.remove(*closed_session))
+      components_.session_reaper.retire(std::move(session));
+  }
+  if (closed_connection) components_.engine_port.close(*closed_connection);
+  if (sender) {
+    if (auto* session = components_.client_port.find(*sender)) session->taken();
+  }
+}
+
+void DispatcherLoop::prepare_shutdown(dispatch::BeginShutdown& event) {
+  // No success of readyz from here on.
+  if (components_.admin) components_.admin->publish(ServingState::shutting_down);
+  event = upgrade::shutdown_event(components_.settings,
+                                  components_.upgrade && components_.upgrade->has_successor());
+  if (components_.upgrade) components_.upgrade->withdraw();
+  if (components_.fleet_state) components_.fleet_state->begin_shutdown();
+  components_.log.write(event.has_successor ? "shutdown begins: successor=yes"
+                                            : "shutdown begins: successor=no");
+}
+
+// In this order: no client is accepted any more; what has been read is answered, by now with a rejection;
+// what is queued is written; connections are half closed, so that none is reset upon its last answers. A
+// client that does not read its answers, or never stops asking, does not delay the end.
+void DispatcherLoop::close_sessions() {
+  if (components_.listener) components_.session_reaper.retire(std::move(components_.listener));
+  const Time deadline = now() + kLastWriteTimeout;
+  bool first_pass = true;  // a connection accepted last may still be in the queue
+  while ((first_pass || !components_.client_port.empty()) && now() < deadline) {
+    first_pass = false;
+    components_.client_port.finish_settled_sessions();
+    for (auto& event : components_.events.take_until(std::min(deadline, now() + kSettleInterval)))
+      handle(std::move(event));
+    dispatcher_.tick(now());
+  }
+}
+
+}  // namespace yokestream::net
--- a/src/net/engine_link.cpp
+++ b/src/net/engine_link.cpp
@@ -14,7 +14,7 @@
 }  // namespace
 
 EngineLink::EngineLink(dispatch::EngineConnectionId id, const config::Endpoint& endpoint, Time deadline,
-                       const std::vector<std::string>& report_fields, Inbox& inbox, Poller& writer,
+                       const std::vector<std::string>& report_fields, DispatcherQueue& inbox, Poller& writer,
                        figures::Figures& figures)
     : id_(id),
       up_by_(deadline),
--- a/src/net/engine_link.h
+++ b/src/net/engine_link.h
@@ -20,7 +20,7 @@
  public:
   // Begins to connect. It never throws and never tells at once: how it went is told by the dock's looks.
   EngineLink(dispatch::EngineConnectionId id, const config::Endpoint& endpoint, Time deadline,
-             const std::vector<std::string>& report_fields, Inbox& inbox, Poller& writer,
+             const std::vector<std::string>& report_fields, DispatcherQueue& inbox, Poller& writer,
              figures::Figures& figures);
   ~EngineLink() override;  // breaks off and joins
 
@@ -47,7 +47,7 @@
 
   const dispatch::EngineConnectionId id_;
   const Time up_by_;
-  Inbox& inbox_;
+  DispatcherQueue& inbox_;
   Poller& writer_;
   Socket socket_;
   // The dock's thread only, once it is constructed. In this order: a connection that fails at its begin says
--- a/src/net/events.h
+++ b/src/net/events.h
@@ -1,4 +1,4 @@
-// What the drivers hand to the thread that owns the core.
+// What the threads of the connections, of discovery and of coordination post to the dispatcher's thread.
 #pragma once
 
 #include <memory>
@@ -16,24 +16,31 @@
 namespace yokestream::net {
 
 class ClientSession;
-struct Accepted {  // a new client connection
+
+struct ClientAccepted {  // a new client connection; posted before anything else of it
   dispatch::SessionId id{};
-  std::uint64_t origin = 0;  // the address that it comes from
+  std::uint64_t origin = 0;  // the address that it comes from, as a number
   std::shared_ptr<ClientSession> session;
 };
-struct Reloaded {  // what of a new configuration takes effect at once
+
+struct ConfigurationReloaded {  // the parts of a new configuration that take effect at once
   std::optional<config::Endpoint> feed;
   door::Settings door;
   queues::Settings queues;
 };
-struct FleetTold {  // which part of the fleet's load this process may count on
-  coordination::FleetMember::LoadGrant allowed;
+
+struct LoadGrantChanged {  // the part of the fleet's load that this process may count on
+  coordination::FleetMember::LoadGrant grant;
 };
-struct RoutesTold {                          // where requests of areas that move may go, before `until`
+
+struct RoutesChanged {                       // where requests of areas that move may go
   std::optional<routing::RouteTable> table;  // nullopt: nowhere
-  Time until{};
+  Time valid_until{};
 };
-using DriverEvent = std::variant<dispatch::Event, Accepted, Reloaded, FleetTold, RoutesTold>;
-using Inbox = Mailbox<DriverEvent>;
+
+using DriverEvent =
+    std::variant<dispatch::Event, ClientAccepted, ConfigurationReloaded, LoadGrantChanged, RoutesChanged>;
+// Any thread posts, the dispatcher's takes.
+using DispatcherQueue = Mailbox<DriverEvent>;
 
 }  // namespace yokestream::net
--- a/src/net/fleet_keeper.cpp
+++ b/src/net/fleet_keeper.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-FleetKeeper::FleetKeeper(const config::Config& config, Inbox& inbox, dispatch::Log& log)
+FleetKeeper::FleetKeeper(const config::Config& config, DispatcherQueue& inbox, dispatch::Log& log)
     : inbox_(inbox),
       log_(log),
       mover_(mover_for(config)),
@@ -120,7 +120,7 @@
   const auto allowed = fleet_.load_grant();
   if (allowed == allowed_) return;
   allowed_ = allowed;
-  inbox_.post(FleetTold{allowed});
+  inbox_.post(LoadGrantChanged{allowed});
 }
 
 // The grant is this session's: a core that hears of no renewal closes the areas by itself.
@@ -130,7 +130,7 @@
   const Time until = fleet_.session_held_until();
   if (epoch == told_epoch_ && until == told_until_) return;
   told_epoch_ = epoch, told_until_ = until;
-  inbox_.post(RoutesTold{table, until});
+  inbox_.post(RoutesChanged{table, until});
 }
 
 void FleetKeeper::tell_log() {
--- a/src/net/fleet_keeper.h
+++ b/src/net/fleet_keeper.h
@@ -27,7 +27,7 @@
   static constexpr std::size_t kDescriptors = 5;
 
   // `told`: managers that the platform tells of. Throws std::system_error.
-  FleetKeeper(const config::Config& config, Inbox& inbox, dispatch::Log& log);
+  FleetKeeper(const config::Config& config, DispatcherQueue& inbox, dispatch::Log& log);
   ~FleetKeeper();  // at once; what leave() has not given back ends with its lease
 
   void arrived() { ++arrived_; }                       // a request, for this process's traffic
@@ -47,7 +47,7 @@
   void tell_log();
   void measure(Time now);
 
-  Inbox& inbox_;
+  DispatcherQueue& inbox_;
   dispatch::Log& log_;
   std::optional<migration::MigrationTask> mover_;  // where areas may move; its thread only, as the next
   coordination::FleetMember fleet_;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -6,103 +6,102 @@
 #include <poll.h>
 #include <sys/eventfd.h>
 #include <sys/socket.h>
-#include <unistd.h>
 
 #include <cerrno>
+#include <memory>
 #include <system_error>
+#include <utility>
 
 namespace yokestream::net {
 namespace {
 
-constexpr Duration kDescriptorPause = std::chrono::milliseconds(10);  // when none is free
+constexpr Duration kRetryDelay = std::chrono::milliseconds(10);  // while no descriptor is free
 
-}  // namespace
-
-Gate::Gate() : opened_(::eventfd(0, EFD_CLOEXEC)) {
-  if (!opened_) throw std::system_error(errno, std::generic_category(), "cannot wait for clients");
+bool is_lack_of_resources(int error) {
+  return error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM;
 }
 
-void Gate::open() {
-  open_ = true;
-  raise_event(opened_);
-}
+// The client left before it was accepted, or there is nobody to accept.
+bool is_nothing_to_accept(int error) { return error == EAGAIN || error == EINTR || error == ECONNABORTED; }
+
+}  // namespace
 
-Listener::Listener(const config::Config& config, const Gate& gate, dispatch::Budget& slots,
-                   dispatch::Budget& budget, Inbox& inbox, Readers& readers, dispatch::Log& log)
+Listener::Listener(const config::Config& config, const AcceptGate& gate, dispatch::Budget& session_slots,
+                   dispatch::Budget& memory_budget, DispatcherQueue& events, Readers& readers,
+                   dispatch::Log& log)
     : fd_(config.listen_fd ? inherited_listener(*config.listen_fd) : listen_on(config.listen)),
-      over_(::eventfd(0, EFD_CLOEXEC)),
+      stop_event_(::eventfd(0, EFD_CLOEXEC)),
       gate_(gate),
-      names_(config.real),
-      budget_(budget),
-      slots_(slots),
-      inbox_(inbox),
+      settings_(config.real),
+      memory_budget_(memory_budget),
+      session_slots_(session_slots),
+      events_(events),
       readers_(readers),
       log_(log) {
-  if (!over_ || ::fcntl(fd_.get(), F_SETFL, O_NONBLOCK) != 0)
+  if (!stop_event_ || ::fcntl(fd_.get(), F_SETFL, O_NONBLOCK) != 0)
     throw std::system_error(errno, std::generic_category(), "cannot wait for clients");
-  thread_ = Thread("listener", kSmallStack, [this] { accept_all(); });
+  thread_ = Thread("listener", kSmallStack, [this] { run(); });
 }
 
-Listener::~Listener() { raise_event(over_); }
+Listener::~Listener() { raise_event(stop_event_); }
 
-// Guards the end: whoever waits in accept() itself is not woken by the end of the listener on every platform.
-bool Listener::wait_until(Time deadline, const Fd* news) {
-  pollfd both[] = {{over_.get(), POLLIN, 0}, {news ? news->get() : -1, POLLIN, 0}};
-  ::poll(both, news ? 2 : 1, milliseconds_until(deadline));
-  return (both[0].revents & POLLIN) == 0;
+// Failure: a thread that waits in accept() itself is not woken on every platform when its listener is to end.
+// Symptom: the destructor hangs. Guard: it waits for the socket and for stop_event_ together.
+Listener::WaitResult Listener::wait_until(Time deadline, const Fd* readable) {
+  pollfd polled[] = {{stop_event_.get(), POLLIN, 0}, {readable ? readable->get() : -1, POLLIN, 0}};
+  ::poll(polled, readable ? 2 : 1, milliseconds_until(deadline));
+  return (polled[0].revents & POLLIN) == 0 ? WaitResult::ready : WaitResult::stopping;
 }
 
-void Listener::accept_all() {
-  // An interrupted wait is no opened gate: until then another process may serve here.
+void Listener::run() {
+  // A wait that was interrupted does not mean that the gate is open: until then another process may serve
+  // here.
   while (!gate_.is_open()) {
-    if (!wait_until(Time::max(), &gate_.opened())) return;
+    if (wait_until(Time::max(), &gate_.opened_event()) == WaitResult::stopping) return;
   }
-  bool short_of = false;
+  accept_clients();
+}
+
+void Listener::accept_clients() {
+  bool lack_logged = false;
   while (true) {
-    // Guards the descriptors that links to engines need: who is one too many waits to be accepted, and the
-    // core closes idle connections before it comes to that.
+    // Failure: client connections use up all descriptors. Symptom: none is left for connections to engines.
+    // Guard: no more are accepted than there are slots; the dispatcher closes idle ones before that.
     dispatch::Reservation slot;
-    if (!slots_.try_reserve(slot, 1)) {
-      if (!wait_until(now() + kDescriptorPause, nullptr)) return;
+    if (!session_slots_.try_reserve(slot, 1)) {
+      if (wait_until(now() + kRetryDelay, nullptr) == WaitResult::stopping) return;
       continue;
     }
-    if (!wait_until(Time::max(), &fd_)) return;
-    sockaddr_in from{};
-    socklen_t size = sizeof from;
-    Fd fd(::accept4(fd_.get(), reinterpret_cast<sockaddr*>(&from), &size, SOCK_CLOEXEC));
-    if (fd) {
-      const int on = 1;
-      setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-      // Guards the time limits: a request counts from its last byte, so it is read from here on and does
-      // not wait for a busy core. The core hears of the session first, and so of its requests later.
-      const dispatch::SessionId id{++last_session_};
-      const auto session = std::make_shared<ClientSession>(id, std::move(fd), std::move(slot), names_,
-                                                           budget_, inbox_, readers_, log_);
-      inbox_.post(Accepted{id, from.sin_addr.s_addr, session});
-      readers_.lobby.admit(session);
-      short_of = false;
+    if (wait_until(Time::max(), &fd_) == WaitResult::stopping) return;
+    sockaddr_in peer{};
+    socklen_t size = sizeof peer;
+    Fd connection(::accept4(fd_.get(), reinterpret_cast<sockaddr*>(&peer), &size, SOCK_CLOEXEC));
+    if (connection) {
+      start_session(std::move(connection), peer.sin_addr.s_addr, std::move(slot));
+      lack_logged = false;
       continue;
     }
-    // Guards against an end of descriptors or memory: who waits is accepted when some are free again.
+    // Failure: descriptors or memory run out. Symptom: accept() fails at once, again and again. Guard: it is
+    // tried again after a delay; who waits is accepted then.
     const int error = errno;
-    const bool passing = error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM;
-    if (passing && !std::exchange(short_of, true)) log_.write("no descriptor is free for a new connection");
-    const bool gone = error == EAGAIN || error == EINTR || error == ECONNABORTED;  // it left before its turn
-    if (!gone && !wait_until(now() + kDescriptorPause, nullptr)) return;
+    if (is_lack_of_resources(error) && !std::exchange(lack_logged, true))
+      log_.write("client connection not accepted: cause=\"no descriptor is free\"");
+    if (!is_nothing_to_accept(error) && wait_until(now() + kRetryDelay, nullptr) == WaitResult::stopping)
+      return;
   }
 }
 
-Undertaker::Undertaker() : dead_(~std::size_t{0}) {
-  thread_ = Thread("undertaker", kSmallStack, [this] {
-    while (dead_.take()) {
-    }
-  });
-}
-Undertaker::~Undertaker() { dead_.finish(); }
-void Undertaker::bury(std::shared_ptr<ClientSession> session) {
-  session->break_off("its session has ended");
-  dead_.add(std::move(session), 0);
+// Failure: a busy dispatcher delays the first read. Symptom: time limits, which count from a request's last
+// byte, start late. Guard: the connection is read from here on; ClientAccepted is posted first, and so before
+// its requests.
+void Listener::start_session(Fd connection, std::uint64_t origin, dispatch::Reservation slot) {
+  const int enabled = 1;
+  setsockopt(connection.get(), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
+  const dispatch::SessionId id{++last_session_};
+  const auto session = std::make_shared<ClientSession>(id, std::move(connection), std::move(slot), settings_,
+                                                       memory_budget_, events_, readers_, log_);
+  events_.post(ClientAccepted{id, origin, session});
+  readers_.lobby.admit(session);
 }
-void Undertaker::bury(std::unique_ptr<Listener> listener) { dead_.add(std::move(listener), 0); }
 
 }  // namespace yokestream::net
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,70 +1,47 @@
-// Accepts clients, and takes leave of what has ended.
+// Accepts client connections.
 #pragma once
 
-#include <atomic>
-#include <memory>
-#include <variant>
-
 #include "config/config.h"
+#include "net/accept_gate.h"
 #include "net/client_session.h"
 #include "net/events.h"
 #include "net/thread.h"
 
 namespace yokestream::net {
 
-// Closed until it is opened, once, by any thread.
-class Gate {
- public:
-  Gate();  // throws std::system_error
-  void open();
-  const Fd& opened() const { return opened_; }  // can be read from then on
-  bool is_open() const { return open_; }
-
- private:
-  Fd opened_;
-  std::atomic<bool> open_{false};
-};
-
-// Accepts clients once `gate` is open. Its thread waits for them and for its own end together. The socket is
-// the platform's, where it hands one down (`config.listen_fd`), and then shared with other processes: it is
-// never shut down here, only closed.
+// Accepts clients once `gate` is open. The socket is the platform's, where it hands one down
+// (`config.listen_fd`), and then shared with other processes: it is never shut down here, only closed.
 class Listener {
  public:
-  // `slots`: connections that may be there at once; it outlives them, as the listener does not.
-  Listener(const config::Config& config, const Gate& gate, dispatch::Budget& slots, dispatch::Budget& budget,
-           Inbox& inbox, Readers& readers, dispatch::Log& log);
-  ~Listener();
-  config::Endpoint endpoint() const { return local_endpoint(fd_); }
+  // `session_slots`: connections that may be open at once; each connection holds one and may outlive the
+  // listener. All references outlive it. Throws std::system_error.
+  Listener(const config::Config& config, const AcceptGate& gate, dispatch::Budget& session_slots,
+           dispatch::Budget& memory_budget, DispatcherQueue& events, Readers& readers, dispatch::Log& log);
+  ~Listener();  // accepts no more; joins
+  Listener(const Listener&) = delete;
+  Listener& operator=(const Listener&) = delete;
 
- private:
-  void accept_all();
-  bool wait_until(Time deadline, const Fd* news);  // false: it is over
+  [[nodiscard]] config::Endpoint endpoint() const { return local_endpoint(fd_); }
 
-  Fd fd_, over_;  // over_: can be read once all is over
-  const Gate& gate_;
-  const config::RealSettings& names_;
-  dispatch::Budget& budget_;
-  dispatch::Budget& slots_;
-  Inbox& inbox_;
+ private:
+  enum class WaitResult { ready, stopping };
+
+  void run();
+  void accept_clients();
+  WaitResult wait_until(Time deadline, const Fd* readable);
+  void start_session(Fd connection, std::uint64_t origin, dispatch::Reservation slot);
+
+  Fd fd_;
+  Fd stop_event_;  // readable once the listener is to end
+  const AcceptGate& gate_;
+  const config::RealSettings& settings_;
+  dispatch::Budget& memory_budget_;
+  dispatch::Budget& session_slots_;
+  DispatcherQueue& events_;
   Readers& readers_;
   dispatch::Log& log_;
-  std::uint64_t last_session_ = 0;
-  Thread thread_;  // last: it uses the rest
-};
-
-// Destroys client connections and the listener, which joins their threads, on a thread of its own: the core
-// never waits for one.
-class Undertaker {
- public:
-  Undertaker();
-  ~Undertaker();
-  void bury(std::shared_ptr<ClientSession> session);
-  void bury(std::unique_ptr<Listener> listener);
-
- private:
-  using Dead = std::variant<std::shared_ptr<ClientSession>, std::unique_ptr<Listener>>;
-  Outbox<Dead> dead_;
-  Thread thread_;
+  std::uint64_t last_session_ = 0;  // thread_ only
+  Thread thread_;                   // last: it uses the rest
 };
 
 }  // namespace yokestream::net
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -1,102 +1,80 @@
-// The whole manager on sockets: the listener, all connections, the feed, and the thread that owns the core.
+// The whole workload manager on sockets. It only composes: each member does its own job, on the threads that
+// its header names.
+//
+//   thread          member               does
+//   listener        listener_            accepts clients
+//   client-poller   client_poller_       reads clients (busy ones have a reader thread each)
+//   engine-poller   engine_poller_       reads engines
+//   writer          writer_poller_       writes to peers that are slow to read
+//   feed            discovery_           watches the endpoint list
+//   fleet           coordination_        shares load and routes with the fleet
+//   operators       admin_               answers operators
+//   session-reaper  session_reaper_      destroys what has ended
+//   dispatcher      dispatcher_loop_     owns dispatcher_, client_port_ and engine_port_
 #pragma once
 
-#include <map>
 #include <memory>
 #include <optional>
 
+#include "admin/admin_listener.h"
 #include "config/config.h"
+#include "discovery/discovery_watcher.h"
 #include "dispatch/dispatcher.h"
-#include "net/client_session.h"
-#include "net/engine_link.h"
+#include "net/accept_gate.h"
+#include "net/client_port_adapter.h"
+#include "net/dispatcher_loop.h"
+#include "net/engine_port_adapter.h"
 #include "net/events.h"
-#include "net/feed_follower.h"
 #include "net/fleet_keeper.h"
-#include "net/hand_over.h"
+#include "net/fleet_state_applier.h"
 #include "net/listener.h"
-#include "net/management.h"
 #include "net/poller.h"
-#include "net/thread.h"
-#include "net/together.h"
+#include "net/session_reaper.h"
+#include "upgrade/upgrade_coordinator.h"
 
 namespace yokestream::net {
 
-class Server : private dispatch::ClientPort, private dispatch::EnginePort {
+class Server {
  public:
-  Server(const config::Config& config, dispatch::Log& log);  // throws std::system_error; serves from then on
-  ~Server();
-  config::Endpoint endpoint() const { return listener_->endpoint(); }
-  void reload(const config::Config& config);           // the feed, what may change of the door, the teams
-  std::optional<config::Endpoint> management() const;  // the operators' door, where there is one
-  void leave();                                        // starts the end: what comes meanwhile is still served
-  void wait();                                         // until it has come
+  // Serves from then on. Both outlive it. Throws std::system_error.
+  Server(const config::Config& config, dispatch::Log& log);
+  ~Server();  // ends at once; for an orderly end call begin_shutdown() and wait() before
+  Server(const Server&) = delete;
+  Server& operator=(const Server&) = delete;
 
- private:
-  void run();
-  void take(DriverEvent event);
-  void note_if_slow(Time began, std::size_t events);
-  void close_sessions();
-  void open_gate();
-  void heed_operators();
-  void look_at_others();
-  void hand_over();
-  void look_at_part();
-  void take(const RoutesTold& told);
-  void look_at_routes();
-  dispatch::BeginShutdown leave_as() const;
-
-  void send_result(dispatch::SessionId session, dispatch::CallId call, dispatch::Result result) override;
-  void send_rejection(dispatch::SessionId session, dispatch::CallId call, Duration come_back_after) override;
-  void send_failure(dispatch::SessionId session, dispatch::CallId call, std::string_view why) override;
-  void send_readiness(dispatch::SessionId session, dispatch::CallId call, bool able) override;
-  void attach_quote(dispatch::SessionId session, dispatch::CallId call, const queues::Quote& quote) override;
-  void send_quote(dispatch::SessionId session, dispatch::CallId call, const queues::Quote& quote) override;
-  void close(dispatch::SessionId session) override;
-  bool close_if_idle(dispatch::SessionId session) override;
-  void close_after_responses(dispatch::SessionId session) override;
-  bool has_disconnected(dispatch::SessionId session) override;
+  [[nodiscard]] config::Endpoint endpoint() const { return listener_->endpoint(); }  // before a shutdown only
+  // nullopt: there is no admin listener.
+  [[nodiscard]] std::optional<config::Endpoint> admin_endpoint() const;
+  // Any thread. Takes over the feed's address and the throttle's and the scheduler's settings.
+  void reload(const config::Config& config);
+  // Any thread. Starts a graceful shutdown; clients are served meanwhile.
+  void begin_shutdown();
+  void wait();  // until the shutdown is complete
 
-  void connect(dispatch::EngineConnectionId link, const config::Endpoint& endpoint, Time deadline) override;
-  void send(dispatch::EngineConnectionId link, dispatch::AttemptTag tag, EngineRequest request) override;
-  bool withdraw(dispatch::EngineConnectionId link, dispatch::AttemptTag tag) override;
-  void cancel(dispatch::EngineConnectionId link, std::string_view id) override;
-  void ping(dispatch::EngineConnectionId link, std::string_view tag) override;
-  void set_priority(dispatch::EngineConnectionId link, std::string_view id, std::uint32_t band) override;
-  void fetch_page(dispatch::EngineConnectionId link, std::string_view id, std::uint32_t page) override;
-  void release_result(dispatch::EngineConnectionId link, std::string_view id) override;
-  void close(dispatch::EngineConnectionId link) override;
-
-  ClientSession* find(dispatch::SessionId session);
-  EngineLink* find(dispatch::EngineConnectionId link);
+ private:
+  void begin_serving();
 
-  const config::Config& config_;
   dispatch::Log& log_;
-  dispatch::Budget budget_, slots_;  // bytes; client connections
-  Inbox inbox_;
-  // Before all that holds connections: engines and clients are read there, slow ones of both written to.
-  Poller dock_, lobby_, writer_;
+  dispatch::Budget memory_budget_;  // bytes
+  dispatch::Budget session_slots_;  // client connections
+  DispatcherQueue events_;
+  // Before all that holds connections.
+  Poller engine_poller_;
+  Poller client_poller_;
+  Poller writer_poller_;
   Readers readers_;
-  Undertaker undertaker_;
-  std::map<dispatch::SessionId, std::shared_ptr<ClientSession>> sessions_;     // the core's thread only
-  std::map<dispatch::EngineConnectionId, std::shared_ptr<EngineLink>> links_;  // the core's thread only
-  Time next_slow_note_{};
-  dispatch::Dispatcher manager_;
-  std::unique_ptr<FeedFollower> feed_;
-  Gate gate_;
-  std::unique_ptr<Listener> listener_;
-  std::optional<Together> together_;              // where processes may share the listener
-  std::optional<HandOver> hand_over_;             // the same
-  Time next_look_{}, next_hand_over_{};           // at the others; the core's thread only
-  std::optional<FleetKeeper> keeper_;             // where the fleet shares a store
-  coordination::FleetMember::LoadGrant allowed_;  // the core's thread only, as the next: what it says
-  coordination::LoadShare part_ = 0;              // and what the core acts on
-  std::int64_t applied_ = -1;                     // the same: the table that says so
-  std::int64_t routed_ = -1;                      // and the routes that it keeps to
-  Time next_tally_{};
-  bool alone_ = false;                      // the core's thread only, as the next: others have gone
-  bool evacuated_ = false;                  // the core's thread only: the wish that it has carried out
-  std::unique_ptr<Management> management_;  // its thread reads the core's figures, and opens the gate
-  Thread core_;                             // last: it uses the rest
+  SessionReaper session_reaper_;
+  ClientPortAdapter client_port_;  // the dispatcher's thread only, as the next two
+  EnginePortAdapter engine_port_;
+  dispatch::Dispatcher dispatcher_;  // its metrics may be read by any thread
+  std::unique_ptr<discovery::DiscoveryWatcher> discovery_;
+  AcceptGate accept_gate_;                              // any thread
+  std::unique_ptr<Listener> listener_;                  // the dispatcher's thread retires it
+  std::optional<upgrade::UpgradeCoordinator> upgrade_;  // where processes may share the listener
+  std::optional<FleetKeeper> coordination_;             // where the fleet shares a store
+  std::optional<FleetStateApplier> fleet_state_;        // the same; the dispatcher's thread only
+  std::unique_ptr<admin::AdminListener> admin_;         // reads dispatcher_'s metrics; opens accept_gate_
+  std::unique_ptr<DispatcherLoop> dispatcher_loop_;     // last: it uses the rest
 };
 
 }  // namespace yokestream::net
--- /dev/null
+++ b/src/net/session_reaper.cpp
@@ -0,0 +1,25 @@
+#include "net/session_reaper.h"
+
+#include <limits>
+#include <utility>
+
+namespace yokestream::net {
+
+SessionReaper::SessionReaper() : retired_(std::numeric_limits<std::size_t>::max()) {
+  thread_ = Thread("session-reaper", kSmallStack, [this] {
+    while (retired_.take()) {
+      // What was taken is destroyed here.
+    }
+  });
+}
+
+SessionReaper::~SessionReaper() { retired_.finish(); }
+
+void SessionReaper::retire(std::shared_ptr<ClientSession> session) {
+  session->break_off("its session has ended");
+  retired_.add(std::move(session), 0);
+}
+
+void SessionReaper::retire(std::unique_ptr<Listener> listener) { retired_.add(std::move(listener), 0); }
+
+}  // namespace yokestream::net
--- a/src/snapshot/learned_state_codec.cpp
+++ b/src/snapshot/learned_state_codec.cpp
@@ -8,113 +8,138 @@
 namespace yokestream::snapshot {
 namespace {
 
-using policy::LearnedClass;
-using policy::LearnedEngine;
-using policy::LearnedPool;
 using policy::LearnedState;
 
-constexpr std::string_view kForm = "yokestream-learnt-1\n";
-constexpr std::size_t kSumBytes = sizeof(XXH64_hash_t);
-constexpr std::size_t kLongestName = 1024;
+constexpr std::string_view kFormatHeader = "yokestream-learnt-1\n";
+constexpr std::size_t kChecksumBytes = sizeof(XXH64_hash_t);
+constexpr std::size_t kMaxNameBytes = 1024;
 
-// One description of the form for both ways: Writer and Reader are told the same members in the same order.
+// The format is described once, by the function templates below over an Archive: a Writer that appends or a
+// Reader that consumes the same members in the same order. Numbers are stored as the machine holds them. Each
+// function returns false when the bytes do not fit the format; a Writer always succeeds.
 struct Writer {
   std::string bytes;
+
   template <class T>
-  bool number(const T& x) {
-    bytes.append(reinterpret_cast<const char*>(&x), sizeof x);
+  bool number(const T& value) {
+    bytes.append(reinterpret_cast<const char*>(&value), sizeof value);
     return true;
   }
-  bool text(const std::string& x) {
-    return number(static_cast<std::uint32_t>(x.size())) && (bytes += x, true);
+  bool text(const std::string& value) {
+    number(static_cast<std::uint32_t>(value.size()));
+    bytes += value;
+    return true;
   }
   template <class List>
-  bool size(const List& list, std::size_t) {
+  bool size(const List& list, std::size_t /*min_element_bytes*/) {
     return number(static_cast<std::uint32_t>(list.size()));
   }
 };
+
 struct Reader {
-  std::string_view bytes;
+  std::string_view bytes;  // not read yet
+
   template <class T>
-  bool number(T& x) {
-    if (bytes.size() < sizeof x) return false;
-    std::memcpy(&x, bytes.data(), sizeof x);
-    bytes.remove_prefix(sizeof x);
+  bool number(T& value) {
+    if (bytes.size() < sizeof value) return false;
+    std::memcpy(&value, bytes.data(), sizeof value);
+    bytes.remove_prefix(sizeof value);
     return true;
   }
-  bool text(std::string& x) {
+  bool text(std::string& value) {
     std::uint32_t size = 0;
-    if (!number(size) || size > kLongestName || size > bytes.size()) return false;
-    x = bytes.substr(0, size);
+    if (!number(size) || size > kMaxNameBytes || size > bytes.size()) return false;
+    value = bytes.substr(0, size);
     bytes.remove_prefix(size);
     return true;
   }
+  // Failure: a corrupt size asks for gigabytes. Symptom: the process runs out of memory while it starts.
+  // Guard: a list is not resized beyond what the remaining bytes can hold.
   template <class List>
-  bool size(List& list, std::size_t each) {  // `each`: bytes that one element has at least
+  bool size(List& list, std::size_t min_element_bytes) {
     std::uint32_t size = 0;
-    if (!number(size) || size > bytes.size() / each) return false;
+    if (!number(size) || size > bytes.size() / min_element_bytes) return false;
     list.resize(size);
     return true;
   }
 };
 
-template <class Way, class... Numbers>
-bool numbers(Way& way, Numbers&... all) {
-  return (way.number(all) && ...);
+template <class Archive, class... Numbers>
+bool archive_numbers(Archive& archive, Numbers&... numbers) {
+  return (archive.number(numbers) && ...);
+}
+
+template <class Archive, class List, class ArchiveElement>
+bool archive_list(Archive& archive, List& list, std::size_t min_element_bytes,
+                  ArchiveElement archive_element) {
+  return archive.size(list, min_element_bytes) && std::all_of(list.begin(), list.end(), archive_element);
 }
-template <class Way, class Row>
-bool row(Way& way, Row& list) {
-  return way.size(list, sizeof(double)) &&
-         std::all_of(list.begin(), list.end(), [&](auto& x) { return way.number(x); });
+
+template <class Archive, class Row>
+bool archive_row(Archive& archive, Row& row) {
+  return archive_list(archive, row, sizeof(double), [&](auto& value) { return archive.number(value); });
 }
-template <class Way, class Matrix>
-bool matrix(Way& way, Matrix& list) {
-  return way.size(list, sizeof(std::uint32_t)) &&
-         std::all_of(list.begin(), list.end(), [&](auto& x) { return row(way, x); });
+
+template <class Archive, class Matrix>
+bool archive_matrix(Archive& archive, Matrix& matrix) {
+  return archive_list(archive, matrix, sizeof(std::uint32_t),
+                      [&](auto& row) { return archive_row(archive, row); });
 }
-template <class Way, class Pool>
-bool pool(Way& way, Pool& p) {
-  return numbers(way, p.observed_own_queries, p.observed_all_queries, p.mean_work_s, p.unannounced_time_s,
-                 p.unannounced_work_s, p.unannounced_memory_mb_s, p.mean_unannounced_threads,
-                 p.mean_unannounced_memory_mb, p.mean_value_per_work_second);
+
+template <class Archive>
+bool archive_pool(Archive& archive, policy::LearnedPool& pool) {
+  return archive_numbers(archive, pool.observed_own_queries, pool.observed_all_queries, pool.mean_work_s,
+                         pool.unannounced_time_s, pool.unannounced_work_s, pool.unannounced_memory_mb_s,
+                         pool.mean_unannounced_threads, pool.mean_unannounced_memory_mb,
+                         pool.mean_value_per_work_second);
 }
-template <class Way, class Class>
-bool one_class(Way& way, Class& c) {
-  return numbers(way, c.bias, c.mean_error, c.arrivals, c.mean_estimated_work_s, c.outcomes,
-                 c.mean_log_slowdown, c.log_slowdown_deviation, c.best_log_slowdown, c.cost_reports,
-                 c.work_factor, c.memory_factor);
+
+template <class Archive>
+bool archive_class(Archive& archive, policy::LearnedClass& query_class) {
+  return archive_numbers(archive, query_class.bias, query_class.mean_error, query_class.arrivals,
+                         query_class.mean_estimated_work_s, query_class.outcomes,
+                         query_class.mean_log_slowdown, query_class.log_slowdown_deviation,
+                         query_class.best_log_slowdown, query_class.cost_reports, query_class.work_factor,
+                         query_class.memory_factor);
 }
-template <class Way>
-bool start(Way& way, std::optional<policy::Time>& started) {
-  std::int64_t at = started ? started->time_since_epoch().count() : 0;
-  std::uint8_t told = started.has_value();
-  if (!numbers(way, told, at) || told > 1) return false;
-  started = told ? std::optional(policy::Time(policy::Duration(at))) : std::nullopt;
+
+template <class Archive>
+bool archive_start_time(Archive& archive, std::optional<policy::Time>& start_time) {
+  std::int64_t ticks = start_time ? start_time->time_since_epoch().count() : 0;
+  std::uint8_t is_known = start_time.has_value() ? 1 : 0;
+  if (!archive_numbers(archive, is_known, ticks) || is_known > 1) return false;
+  start_time = is_known == 1 ? std::optional(policy::Time(policy::Duration(ticks))) : std::nullopt;
   return true;
 }
-template <class Way>
-bool engine(Way& way, LearnedState::Engine& e) {
-  std::uint8_t shunned = e.learned.ejected;
-  if (!way.text(e.id.name) || !start(way, e.start_time) || !matrix(way, e.learned.interference) ||
-      !row(way, e.learned.mean_error) ||
-      !numbers(way, e.learned.log_slowdown, e.learned.recent_outcomes, e.learned.failure_ratio, shunned) ||
-      shunned > 1)
+
+template <class Archive>
+bool archive_engine(Archive& archive, LearnedState::Engine& engine) {
+  policy::LearnedEngine& learned = engine.learned;
+  std::uint8_t ejected = learned.ejected ? 1 : 0;
+  if (!archive.text(engine.id.name)) return false;
+  if (!archive_start_time(archive, engine.start_time)) return false;
+  if (!archive_matrix(archive, learned.interference)) return false;
+  if (!archive_row(archive, learned.mean_error)) return false;
+  if (!archive_numbers(archive, learned.log_slowdown, learned.recent_outcomes, learned.failure_ratio,
+                       ejected))
     return false;
-  e.learned.ejected = shunned;
+  if (ejected > 1) return false;
+  learned.ejected = ejected == 1;
   return true;
 }
-template <class Way>
-bool all(Way& way, LearnedState& state) {
-  const auto each = [&](auto& list, std::size_t least, auto one) {
-    return way.size(list, least) && std::all_of(list.begin(), list.end(), one);
-  };
-  return pool(way, state.pool) &&
-         each(state.classes, sizeof(double), [&](auto& c) { return one_class(way, c); }) &&
-         each(state.kinds, sizeof(std::uint32_t), [&](auto& k) { return matrix(way, k); }) &&
-         each(state.engines, sizeof(std::uint32_t), [&](auto& e) { return engine(way, e); });
+
+template <class Archive>
+bool archive_state(Archive& archive, LearnedState& state) {
+  const auto archive_one_class = [&](auto& query_class) { return archive_class(archive, query_class); };
+  const auto archive_kind = [&](auto& kind) { return archive_matrix(archive, kind); };
+  const auto archive_one_engine = [&](auto& engine) { return archive_engine(archive, engine); };
+  return archive_pool(archive, state.pool) &&
+         archive_list(archive, state.classes, sizeof(double), archive_one_class) &&
+         archive_list(archive, state.kinds, sizeof(std::uint32_t), archive_kind) &&
+         archive_list(archive, state.engines, sizeof(std::uint32_t), archive_one_engine);
 }
 
-// Positions mean something under the same names only.
+// Learned values are stored by position, which means something under the same names only.
 std::uint64_t digest(const config::RealSettings& names) {
   std::string text;
   for (const auto* list : {&names.classes, &names.kinds}) {
@@ -126,36 +151,57 @@
 
 }  // namespace
 
-std::string encode(LearnedState kept, const config::RealSettings& names, policy::Time now) {
-  if (kept.engines.size() > kMostEngines) kept.engines.resize(kMostEngines);
-  std::erase_if(kept.engines, [](const auto& e) { return e.id.name.size() > kLongestName; });
-  Writer writer{std::string(kForm)};
+std::string_view to_string(DecodeError error) {
+  switch (error) {
+    case DecodeError::too_long:
+      return "it is too long";
+    case DecodeError::other_format:
+      return "it is of another form";
+    case DecodeError::truncated:
+      return "it is cut short";
+    case DecodeError::corrupt:
+      return "it is cut short or spoilt";
+    case DecodeError::other_settings:
+      return "it is of other classes or kinds";
+    case DecodeError::other_clock:
+      return "it is of another clock";
+  }
+  return "";
+}
+
+std::string encode(LearnedState state, const config::RealSettings& names, policy::Time now) {
+  if (state.engines.size() > kMaxEngines) state.engines.resize(kMaxEngines);
+  std::erase_if(state.engines, [](const auto& engine) { return engine.id.name.size() > kMaxNameBytes; });
+  Writer writer{std::string(kFormatHeader)};
   writer.number(digest(names));
   writer.number(static_cast<std::int64_t>(now.time_since_epoch().count()));
-  all(writer, kept);
+  archive_state(writer, state);
   writer.number(XXH64(writer.bytes.data(), writer.bytes.size(), 0));
   return std::move(writer.bytes);
 }
 
-std::variant<RestoredState, std::string> decode(std::string_view bytes, const config::RealSettings& names,
+std::variant<RestoredState, DecodeError> decode(std::string_view bytes, const config::RealSettings& names,
                                                 policy::Time now) {
-  if (bytes.size() > kMostBytes) return "it is too long";
-  if (!bytes.starts_with(kForm)) return "it is of another form";
-  if (bytes.size() < kForm.size() + kSumBytes) return "it is cut short";
-  XXH64_hash_t sum = 0;
-  std::memcpy(&sum, bytes.data() + bytes.size() - kSumBytes, kSumBytes);
-  bytes.remove_suffix(kSumBytes);
-  if (sum != XXH64(bytes.data(), bytes.size(), 0)) return "it is cut short or spoilt";
-  Reader reader{bytes.substr(kForm.size())};
-  std::uint64_t of = 0;
-  std::int64_t at = 0;
-  if (!numbers(reader, of, at)) return "it is cut short";
-  if (of != digest(names)) return "it is of other classes or kinds";
-  RestoredState inherited;
-  inherited.age = now.time_since_epoch() - policy::Duration(at);
-  if (at < 0 || inherited.age < policy::Duration{}) return "it is of another clock";
-  if (!all(reader, inherited.state) || !reader.bytes.empty()) return "it is of another form";
-  return inherited;
+  if (bytes.size() > kMaxBytes) return DecodeError::too_long;
+  if (!bytes.starts_with(kFormatHeader)) return DecodeError::other_format;
+  if (bytes.size() < kFormatHeader.size() + kChecksumBytes) return DecodeError::truncated;
+
+  XXH64_hash_t checksum = 0;
+  std::memcpy(&checksum, bytes.data() + bytes.size() - kChecksumBytes, kChecksumBytes);
+  bytes.remove_suffix(kChecksumBytes);
+  if (checksum != XXH64(bytes.data(), bytes.size(), 0)) return DecodeError::corrupt;
+
+  Reader reader{bytes.substr(kFormatHeader.size())};
+  std::uint64_t names_digest = 0;
+  std::int64_t encoded_at = 0;
+  if (!archive_numbers(reader, names_digest, encoded_at)) return DecodeError::truncated;
+  if (names_digest != digest(names)) return DecodeError::other_settings;
+
+  RestoredState restored;
+  restored.age = now.time_since_epoch() - policy::Duration(encoded_at);
+  if (encoded_at < 0 || restored.age < policy::Duration{}) return DecodeError::other_clock;
+  if (!archive_state(reader, restored.state) || !reader.bytes.empty()) return DecodeError::other_format;
+  return restored;
 }
 
 }  // namespace yokestream::snapshot
--- a/tests/node/net_crossing_test.cpp
+++ b/tests/node/net_crossing_test.cpp
@@ -228,7 +228,7 @@
       if (all[0].revents) links.emplace_back(new Peer(engine.accept()));
     }
     CHECK(seen.find("0123456789abcde1") == std::string::npos);
-    server.leave();
+    server.begin_shutdown();
     server.wait();
   }
 }
--- a/tests/node/net_faults_test.cpp
+++ b/tests/node/net_faults_test.cpp
@@ -9,9 +9,9 @@
 #include <fstream>
 #include <thread>
 
-#include "net/hand_over.h"
 #include "net_fickle.h"
 #include "net_reading.h"
+#include "upgrade/snapshot_handover.h"
 
 namespace yokestream::test {
 namespace {
@@ -119,7 +119,7 @@
 TEST_CASE_FIXTURE(Failing, "a wait that is interrupted is no opened gate: nobody is accepted before") {
   Reading reading(0);
   dispatch::Budget slots(10);
-  net::Gate gate;
+  net::AcceptGate gate;
   polls_interrupted = true;
   net::Listener listener(reading.config, gate, slots, reading.budget, reading.inbox, reading.readers,
                          reading.log);
@@ -131,7 +131,7 @@
   gate.open();
   const auto told = reading.inbox.take_until(Time::max());
   REQUIRE(told.size() == 1);
-  CHECK(std::holds_alternative<net::Accepted>(told[0]));
+  CHECK(std::holds_alternative<net::ClientAccepted>(told[0]));
   reading.inbox.close();
 }
 
@@ -157,10 +157,12 @@
   }
   // On the caller's thread, to its end.
   void write(double n) {
-    net::HandOver out(path, 0, *this);
+    upgrade::SnapshotHandover out(path, 0, *this);
     out.write_now(value(n));
   }
-  std::optional<snapshot::RestoredState> read() { return net::HandOver::read(path, *this, *this); }
+  std::optional<snapshot::RestoredState> read() {
+    return upgrade::SnapshotHandover::load(path, *this, *this);
+  }
   double held() {
     const auto got = read();
     REQUIRE(got.has_value());
--- a/tests/node/net_feed_test.cpp
+++ b/tests/node/net_feed_test.cpp
@@ -1,5 +1,5 @@
-// The control feed on real sockets: silence, half events, new addresses in quick succession, a core that is
-// busy.
+// discovery::DiscoveryWatcher on real sockets: silence, incomplete events, addresses that change quickly, a
+// busy dispatcher.
 #include <doctest/doctest.h>
 
 #include <atomic>
@@ -24,23 +24,25 @@
       std::get<dispatch::EngineListChanged>(std::get<dispatch::Event>(event)).event.number);
 }
 
-struct Following {
+struct Watching {
   Listening first, second;
   Notes log;
-  net::Inbox inbox{1};  // holds one event: the next one waits
+  net::DispatcherQueue inbox{1};  // holds one event: the next one waits
 };
 
-// The core joined the follower, which waited for the core to take an event: neither went on.
+// A reload joined the watcher's thread, which waited for the dispatcher to take an event: neither went on.
 TEST_CASE_FIXTURE(
-    Following, "a new address is taken while the follower waits for a busy core, and nothing is told twice") {
-  net::FeedFollower follower(first.at, 1, 7, inbox, log);
+    Watching,
+    "a new address is accepted while the watcher waits for a busy dispatcher, and no event is posted twice") {
+  discovery::DiscoveryWatcher watcher(first.at, 1, 7, inbox, log);
   Peer old = first.accept();
   REQUIRE(old.until("Last-Event-ID: 1\r\n"));
   old.say(kGood + event(2, "e2", first.at) + event(3, "e3", first.at) + event(4, "e4", first.at));
-  while (inbox.waiting() == 0) std::this_thread::yield();  // the follower holds an event that has no room
-  follower.follow(second.at);                              // returns though nobody takes anything
-  // What it holds goes on; then it asks the new address for what follows the last that it posted.
-  std::vector<int> told;
+  while (inbox.waiting() == 0)
+    std::this_thread::yield();  // the watcher holds an event that the queue has no room for
+  watcher.watch(second.at);     // returns though nobody takes an event
+  // The event that it holds is posted; then it asks the new address for what follows the last one posted.
+  std::vector<int> numbers;
   std::optional<Peer> next;
   Fd accepted;
   std::atomic<bool> came{false};
@@ -49,19 +51,19 @@
     came = true;
   });
   while (!came) {
-    for (const auto& event : inbox.take_until(net::now() + 5ms)) told.push_back(number_of(event));
+    for (const auto& event : inbox.take_until(net::now() + 5ms)) numbers.push_back(number_of(event));
   }
   accepting.join();
-  for (const auto& event : inbox.take_until(net::now())) told.push_back(number_of(event));
-  REQUIRE_FALSE(told.empty());
-  for (std::size_t i = 0; i < told.size(); ++i) CHECK(told[i] == static_cast<int>(i) + 2);
+  for (const auto& event : inbox.take_until(net::now())) numbers.push_back(number_of(event));
+  REQUIRE_FALSE(numbers.empty());
+  for (std::size_t i = 0; i < numbers.size(); ++i) CHECK(numbers[i] == static_cast<int>(i) + 2);
   next.emplace(std::move(accepted));
-  CHECK(next->until("Last-Event-ID: " + std::to_string(told.back()) + "\r\n"));
+  CHECK(next->until("Last-Event-ID: " + std::to_string(numbers.back()) + "\r\n"));
   inbox.close();
 }
 
 TEST_CASE(
-    "addresses in quick succession, an old watch half read: the last one is followed, all else still "
+    "after addresses in quick succession and half an event the last address is watched, and clients are "
     "served") {
   Listening engine, other_engine, old_feed, new_feed;
   Running running(engine.at, &old_feed.at);
@@ -85,8 +87,9 @@
   CHECK(link.until("0123456789abcde1"));  // half an event has changed nothing
 }
 
-// Its engine got a request long after the list had told that it drains.
-TEST_CASE("a watch that falls silent is given up, and the drain that it hid is heeded") {
+// A feed connection fell silent without closing. Its engine got a request long after the list said that it
+// drains.
+TEST_CASE("a silent connection is replaced, and the draining state that it missed is applied") {
   Listening engine, feed;
   Running running(engine.at, &feed.at);
   Peer silent = feed.accept();
@@ -96,7 +99,7 @@
   REQUIRE(next.until("Last-Event-ID: 1\r\n"));
   next.say(kGood + state_event(2, "e1", engine.at, "draining"));
   Peer third(running.server->endpoint());
-  // The core has heard of it once the follower asks no more for it.
+  // The dispatcher has the event once the watcher asks for the one after it.
   next.socket.break_off();
   Peer after = feed.accept();
   REQUIRE(after.until("Last-Event-ID: 2\r\n"));
@@ -108,7 +111,7 @@
   CHECK(came.until("mine"));
 }
 
-// ---- two configurations beside each other in one process
+// ---- two configurations in one process
 
 TEST_CASE(
     "two managers of other configurations in one process share nothing: classes by name, in their own "
@@ -138,7 +141,7 @@
   CHECK(client.until("Fault"));
   Peer again = other.accept();
   CHECK(again.until("0123456789abcde1"));
-  second.leave();
+  second.begin_shutdown();
   second.wait();
 }
 
--- a/tests/node/net_peers.h
+++ b/tests/node/net_peers.h
@@ -98,7 +98,7 @@
     server.emplace(config, log);
   }
   ~Running() {
-    server->leave();
+    server->begin_shutdown();
     server->wait();
   }
   config::Config config;
--- a/tests/node/net_reading.h
+++ b/tests/node/net_reading.h
@@ -15,7 +15,7 @@
   }
   config::Config config = config::decode_config(config_text());
   Notes log;
-  net::Inbox inbox{200};
+  net::DispatcherQueue inbox{200};
   dispatch::Budget budget{1 << 20};
   net::Poller lobby{"lobby"}, writer{"writer"};
   net::Readers readers;
--- a/tests/node/net_test.cpp
+++ b/tests/node/net_test.cpp
@@ -76,14 +76,14 @@
 // Found on the bench: the core waited for the listener's thread, and what was open found no answer.
 TEST_CASE_FIXTURE(OneOut,
                   "a manager told to end answers what is open and ends, though nobody comes any more") {
-  running.server->leave();
+  running.server->begin_shutdown();
   CHECK(client.until("Shed"));
   running.server->wait();
 }
 
 TEST_CASE("connections to engines cost no thread each, and each that ends is told of, also one never up") {
   Listening engine, gone;
-  net::Inbox inbox(200);
+  net::DispatcherQueue inbox(200);
   const std::vector<std::string> fields;
   figures::Figures figures({});
   net::Poller dock("dock"), writer("writer");
--- a/tests/processes/restart_test.cpp
+++ b/tests/processes/restart_test.cpp
@@ -1,4 +1,5 @@
-// A planned restart of the real program, with what is on its way just then: half a request, words told twice.
+// A planned restart of the real program while a request is half sent, signals are repeated or reloads come
+// in.
 #include <doctest/doctest.h>
 #include <signal.h>
 
@@ -17,8 +18,7 @@
 };
 
 TEST_CASE_FIXTURE(
-    Restarting,
-    "a request half read at SIGTERM is served once it is whole, and its client sees a clean end") {
+    Restarting, "a request half read at SIGTERM is served once it is complete, then its connection closes") {
   client.say(request.substr(0, 20));
   program.tell(SIGTERM);
   REQUIRE(program.until("told to end"));
@@ -28,7 +28,9 @@
   CHECK(program.ended() == 0);
 }
 
-TEST_CASE_FIXTURE(Restarting, "SIGTERM told twice, and SIGHUP in the drain, change nothing of the end") {
+// A supervisor repeats SIGTERM, and a reload comes in meanwhile. The request that is half sent is still
+// served.
+TEST_CASE_FIXTURE(Restarting, "a second SIGTERM and a SIGHUP during the shutdown change nothing") {
   client.say(request.substr(0, 20));
   program.tell(SIGTERM);
   REQUIRE(program.until("told to end"));
@@ -40,7 +42,8 @@
   CHECK(program.ended() == 0);
 }
 
-TEST_CASE_FIXTURE(Restarting, "half a request that never becomes whole does not hold up the end") {
+// A client sends half a request and nothing more. The process must not wait for the rest until it is killed.
+TEST_CASE_FIXTURE(Restarting, "a request that never becomes complete does not delay the exit") {
   client.say(request.substr(0, 20));
   program.tell(SIGTERM);
   CHECK(program.until("ended"));
@@ -48,7 +51,7 @@
   CHECK_FALSE(client.until("anything"));
 }
 
-TEST_CASE_FIXTURE(Restarting, "reloads in quick succession cost no answer and no connection") {
+TEST_CASE_FIXTURE(Restarting, "reloads in quick succession cost no response and no connection") {
   Crowd crowd(program.serves_on(), 3);
   crowd.wait_for(20);
   for (int i = 0; i < 40; ++i) {
--- a/tests/processes/upgrade_test.cpp
+++ b/tests/processes/upgrade_test.cpp
@@ -1,5 +1,5 @@
-// Upgrades: the program started again beside itself on one listener, with clients that keep sending; ended,
-// killed and told to end at each step. Waits for what is seen, never for a time.
+// Upgrades: a second process of the program on the same listening socket, under load; each process is
+// terminated or killed at each step. Tests wait for what is observed, never for a time.
 #include <doctest/doctest.h>
 #include <fcntl.h>
 #include <signal.h>
@@ -14,40 +14,39 @@
 namespace yokestream::test {
 namespace {
 
-const char* const kYes = "SUCCESS";
+const char* const kSuccess = "SUCCESS";
 
 struct Site {
   Folder folder;
   Listening clients;  // the platform's socket
   Fickle engine{0, true};
-  std::string text = with_door(config_text(to_string(clients.at), to_string(engine.at())));
+  std::string text = with_admin(config_text(to_string(clients.at), to_string(engine.at())));
 
-  static std::string with_door(std::string text) { return text.insert(1, R"("management":"127.0.0.1:0",)"); }
+  static std::string with_admin(std::string text) { return text.insert(1, R"("management":"127.0.0.1:0",)"); }
   std::unique_ptr<Program> start() { return std::make_unique<Program>(folder, text, clients.fd.get()); }
 };
 
-// One process serves, a crowd of clients with it; a second one is up and has not been asked for its yes.
-struct Two : Site {
-  std::unique_ptr<Program> old = start();
-  config::Endpoint old_door = old->operators();
+// The predecessor serves a crowd of clients; the successor is up and has not been asked readyz yet.
+struct Upgrade : Site {
+  std::unique_ptr<Program> predecessor = start();
+  config::Endpoint predecessor_admin = predecessor->operators();
   Crowd crowd{clients.at, 6};
-  std::unique_ptr<Program> young;
-  config::Endpoint young_door;
-  Two() {
-    ask_until(old_door, "readyz", kYes);
+  std::unique_ptr<Program> successor;
+  config::Endpoint successor_admin;
+  Upgrade() {
+    ask_until(predecessor_admin, "readyz", kSuccess);
     crowd.wait_for(50);
-    young = start();
-    young_door = young->operators();
+    successor = start();
+    successor_admin = successor->operators();
   }
-  ~Two() { crowd.finish(); }  // while somebody serves
-  long taken_by(const config::Endpoint& door) {
+  ~Upgrade() { crowd.finish(); }  // while somebody serves
+  long requests_of(const config::Endpoint& admin) {
     long sum = 0;
     for (const char* end : {"served", "refused", "failed"})
-      sum += figure(door, std::string("requests.look.") + end);
+      sum += figure(admin, std::string("requests.look.") + end);
     return sum;
   }
-  // Nothing was lost, and next to nothing turned back unheard: the operators pay for more than two an
-  // upgrade.
+  // No request was lost, and at most two an upgrade were rejected unread: the operators pay for more.
   void check(long upgrades = 1) {
     crowd.finish();
     CHECK(crowd.lost.load() == 0);
@@ -56,110 +55,120 @@
 };
 
 TEST_CASE_FIXTURE(
-    Two, "an upgrade under load: the new one serves from its yes on, the old one ends, nothing is lost") {
+    Upgrade,
+    "under load the successor serves once it is ready, the predecessor exits, and no request is lost") {
   crowd.wait_for(50);
-  CHECK(taken_by(young_door) == 0);  // not asked yet: the old one serves
-  ask_until(young_door, "readyz", kYes);
-  old->tell(SIGTERM);
-  CHECK(old->until("another process serves from now on"));
-  CHECK(ask(old_door, "readyz").rfind(kYes, 0) != 0);  // no, or it has ended already
-  CHECK(old->until("ended"));
-  CHECK(old->ended() == 0);
+  CHECK(requests_of(successor_admin) == 0);  // not asked yet: the predecessor serves
+  ask_until(successor_admin, "readyz", kSuccess);
+  predecessor->tell(SIGTERM);
+  CHECK(predecessor->until("shutdown begins: successor=yes"));
+  CHECK(ask(predecessor_admin, "readyz").rfind(kSuccess, 0) != 0);  // a failure, or it has exited already
+  CHECK(predecessor->until("ended"));
+  CHECK(predecessor->ended() == 0);
   crowd.wait_for(50);
   check();
-  CHECK(taken_by(young_door) > 0);
-  CHECK(figure(young_door, "in_flight") == 0);
+  CHECK(requests_of(successor_admin) > 0);
+  CHECK(figure(successor_admin, "in_flight") == 0);
 }
 
-TEST_CASE_FIXTURE(Two, "a new process that dies before its yes takes nobody with it") {
-  young->tell(SIGKILL);
-  CHECK(young->ended() == -SIGKILL);
+// The successor is killed while its gate is closed. The predecessor must not lose a request by it.
+TEST_CASE_FIXTURE(Upgrade, "a successor that dies before it is ready costs no request") {
+  successor->tell(SIGKILL);
+  CHECK(successor->ended() == -SIGKILL);
   crowd.wait_for(100);
   check();
   CHECK(crowd.turned_back == 0);
 }
 
+// The successor is killed after its readyz succeeded. Only requests that it had accepted may fail; the
+// predecessor is told to end then and must see that nobody else serves.
 TEST_CASE_FIXTURE(
-    Two, "a new process that dies after its yes loses only what it had taken; the old one serves on") {
-  ask_until(young_door, "readyz", kYes);
-  young->tell(SIGKILL);
-  CHECK(young->ended() == -SIGKILL);
+    Upgrade,
+    "a successor that dies once it is ready loses only its own requests; the predecessor serves on") {
+  ask_until(successor_admin, "readyz", kSuccess);
+  successor->tell(SIGKILL);
+  CHECK(successor->ended() == -SIGKILL);
   crowd.wait_for(100);
-  CHECK(ask(old_door, "readyz").rfind(kYes, 0) == 0);
-  old->tell(SIGTERM);
-  CHECK(old->until("nobody else serves here"));
+  CHECK(ask(predecessor_admin, "readyz").rfind(kSuccess, 0) == 0);
+  predecessor->tell(SIGTERM);
+  CHECK(predecessor->until("shutdown begins: successor=no"));
   crowd.finish();
 }
 
-TEST_CASE_FIXTURE(Two, "a new process that nobody asks serves once the old one has gone, however that was") {
-  old->tell(SIGKILL);
-  CHECK(old->ended() == -SIGKILL);
+// The predecessor is killed before anybody asked the successor for readyz. Without its own check of the group
+// it would never open its gate.
+TEST_CASE_FIXTURE(Upgrade, "a successor that nobody asks serves once the predecessor was killed") {
+  predecessor->tell(SIGKILL);
+  CHECK(predecessor->ended() == -SIGKILL);
   crowd.wait_for(100);
-  CHECK(taken_by(young_door) > 0);
+  CHECK(requests_of(successor_admin) > 0);
 }
 
-TEST_CASE_FIXTURE(Two,
-                  "an old process that is told to end before the new one's yes hands over all the same") {
-  old->tell(SIGTERM);
-  CHECK(old->until("nobody else serves here"));
-  CHECK(old->until("ended"));
-  CHECK(old->ended() == 0);
+// SIGTERM reaches the predecessor before the successor is ready. It must not stop accepting at once, as
+// nobody else does yet.
+TEST_CASE_FIXTURE(Upgrade,
+                  "a predecessor that is terminated before the successor is ready hands over all the same") {
+  predecessor->tell(SIGTERM);
+  CHECK(predecessor->until("shutdown begins: successor=no"));
+  CHECK(predecessor->until("ended"));
+  CHECK(predecessor->ended() == 0);
   crowd.wait_for(50);
-  CHECK(taken_by(young_door) > 0);
+  CHECK(requests_of(successor_admin) > 0);
   check();
 }
 
-TEST_CASE_FIXTURE(Two, "both are told to end: each answers what it has taken, and ends well") {
-  ask_until(young_door, "readyz", kYes);
-  old->tell(SIGTERM);
-  CHECK(old->until("another process serves from now on"));
-  young->tell(SIGTERM);
-  CHECK(young->until("nobody else serves here"));
+// Both processes get SIGTERM. Neither may count on the other for its open requests.
+TEST_CASE_FIXTURE(Upgrade, "when both are terminated each answers its open requests and exits with 0") {
+  ask_until(successor_admin, "readyz", kSuccess);
+  predecessor->tell(SIGTERM);
+  CHECK(predecessor->until("shutdown begins: successor=yes"));
+  successor->tell(SIGTERM);
+  CHECK(successor->until("shutdown begins: successor=no"));
   crowd.finish();
-  CHECK(old->ended() == 0);
-  CHECK(young->ended() == 0);
+  CHECK(predecessor->ended() == 0);
+  CHECK(successor->ended() == 0);
 }
 
-TEST_CASE_FIXTURE(Two, "an upgrade within an upgrade: the third serves, the others end") {
-  ask_until(young_door, "readyz", kYes);
-  old->tell(SIGTERM);
+TEST_CASE_FIXTURE(Upgrade, "in an upgrade within an upgrade the third process serves and the others exit") {
+  ask_until(successor_admin, "readyz", kSuccess);
+  predecessor->tell(SIGTERM);
   const auto third = start();
-  const auto third_door = third->operators();
-  ask_until(third_door, "readyz", kYes);
-  young->tell(SIGTERM);
-  CHECK(young->until("another process serves from now on"));
-  CHECK(old->ended() == 0);
-  CHECK(young->ended() == 0);
+  const auto third_admin = third->operators();
+  ask_until(third_admin, "readyz", kSuccess);
+  successor->tell(SIGTERM);
+  CHECK(successor->until("shutdown begins: successor=yes"));
+  CHECK(predecessor->ended() == 0);
+  CHECK(successor->ended() == 0);
   crowd.wait_for(50);
   check(2);
-  CHECK(taken_by(third_door) > 0);
+  CHECK(requests_of(third_admin) > 0);
 }
 
-bool took_over(const Program& program) {
+bool has_restored_state(const Program& program) {
   return program.said().find("took over what another process learnt of 1 engines") != std::string::npos;
 }
 
-TEST_CASE_FIXTURE(Two,
-                  "the new process begins with what the old one has learnt, and so does one after a kill") {
-  CHECK(took_over(*young));
-  CHECK_FALSE(took_over(*old));
-  old->tell(SIGKILL);
-  CHECK(old->ended() == -SIGKILL);
-  crowd.wait_for(50);  // by the new one, now that it is alone
-  young->tell(SIGKILL);
-  CHECK(young->ended() == -SIGKILL);
+TEST_CASE_FIXTURE(Upgrade, "a successor starts with the learned state, and so does one after a kill") {
+  CHECK(has_restored_state(*successor));
+  CHECK_FALSE(has_restored_state(*predecessor));
+  predecessor->tell(SIGKILL);
+  CHECK(predecessor->ended() == -SIGKILL);
+  crowd.wait_for(50);  // by the successor, which is alone now
+  successor->tell(SIGKILL);
+  CHECK(successor->ended() == -SIGKILL);
   const auto third = start();
-  ask_until(third->operators(), "readyz", kYes);
-  CHECK(took_over(*third));
+  ask_until(third->operators(), "readyz", kSuccess);
+  CHECK(has_restored_state(*third));
   crowd.wait_for(20);
   crowd.finish();  // while somebody serves
 }
 
-TEST_CASE("a spoilt hand-over gets one line, and the new process begins with nothing") {
+// The snapshot file holds noise. The process must start all the same, and say so once.
+TEST_CASE("a corrupt snapshot is logged in one line, and the process starts without it") {
   Site site;
   std::ofstream(site.folder.path() + "/yokestream-learnt") << "noise of another life";
   const auto program = site.start();
-  ask_until(program->operators(), "readyz", kYes);
+  ask_until(program->operators(), "readyz", kSuccess);
   const std::string words = "what another process learnt is not taken over: it is of another form";
   const auto at = program->said().find(words);
   CHECK(at != std::string::npos);
@@ -168,7 +177,8 @@
   crowd.wait_for(20);
 }
 
-TEST_CASE("what a dead process left in the shared folder stops nobody") {
+// The group's file holds noise and a process of the group was killed. Neither may count as a peer.
+TEST_CASE("noise in the shared file and a killed process do not keep another from serving") {
   Site site;
   std::ofstream(site.folder.path() + "/yokestream-processes") << "noise of another life";
   {
@@ -178,12 +188,12 @@
     dead->ended();
   }
   const auto program = site.start();
-  ask_until(program->operators(), "readyz", kYes);
+  ask_until(program->operators(), "readyz", kSuccess);
   Crowd crowd(site.clients.at, 2);
   crowd.wait_for(20);
 }
 
-TEST_CASE("what is handed down or configured wrongly gets one message that names it, and exit 1") {
+TEST_CASE("a wrong inherited socket or setting is named in one message, with exit status 1") {
   Site site;
   Folder other;
   const auto fails = [&](const std::string& config, int listener,
