--- a/src/net/coordination_thread.cpp
+++ b/src/net/coordination_thread.cpp
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-CoordinationThread::CoordinationThread(const config::Config& config, Inbox& inbox, dispatch::Log& log)
+CoordinationThread::CoordinationThread(const config::Config& config, DispatcherQueue& inbox, dispatch::Log& log)
     : inbox_(inbox),
       log_(log),
       migration_task_(make_migration_task(config)),
@@ -120,7 +120,7 @@
   const auto grant = member_.load_grant();
   if (grant == posted_grant_) return;
   posted_grant_ = grant;
-  inbox_.post(FleetTold{grant});
+  inbox_.post(LoadGrantChanged{grant});
 }
 
 // Routes are valid as long as this session: without a renewal the core closes the areas by itself.
@@ -131,7 +131,7 @@
   if (epoch == posted_routes_epoch_ && until == posted_routes_expiry_) return;
   posted_routes_epoch_ = epoch;
   posted_routes_expiry_ = until;
-  inbox_.post(RoutesTold{table, until});
+  inbox_.post(RoutesChanged{table, until});
 }
 
 void CoordinationThread::log_changes() {
--- a/src/net/coordination_thread.h
+++ b/src/net/coordination_thread.h
@@ -27,7 +27,7 @@
   static constexpr std::size_t kDescriptors = 5;
 
   // Throws std::system_error.
-  CoordinationThread(const config::Config& config, Inbox& inbox, dispatch::Log& log);
+  CoordinationThread(const config::Config& config, DispatcherQueue& inbox, dispatch::Log& log);
   ~CoordinationThread();  // stops at once; a lease that leave() has not revoked expires by itself
 
   void arrived() { ++arrivals_; }                      // counts one request of this process's traffic
@@ -47,7 +47,7 @@
   void log_changes();
   void sample_traffic(Time now);
 
-  Inbox& inbox_;
+  DispatcherQueue& inbox_;
   dispatch::Log& log_;
   std::optional<migration::MigrationTask> migration_task_;  // where areas may migrate
   coordination::FleetMember member_;
