--- a/src/discovery/discovery_watcher.cpp
+++ b/src/discovery/discovery_watcher.cpp
@@ -20,7 +20,7 @@
 constexpr Duration kSilenceTimeout = milliseconds(2200);
 constexpr Duration kMaxFirstByteTimeout = milliseconds(5000);
 constexpr Duration kConnectTimeout = milliseconds(1000);
-// Between two connections, with a jitter of half of it: managers that lost the feed together come back apart.
+// Between two connections, with a jitter of half of it: managers that lost the feed at once reconnect apart.
 constexpr Duration kBackoff = milliseconds(100);
 
 }  // namespace
--- a/src/upgrade/snapshot_handover.h
+++ b/src/upgrade/snapshot_handover.h
@@ -1,9 +1,10 @@
 // The file by which a process passes its learned state on to its successor: `yokestream-learnt` in the folder
 // that both share.
 //
-// Each version is written beside the current one and then renamed over it, on a thread of its own, so that a
-// slow disk delays nobody; an offer made while another is waiting is dropped. A missing file is normal; one
-// that cannot be decoded is logged in one line and ignored. Memory: one copy of the state and its bytes.
+// Each version is written to a file of its own and then renamed over the current one, on a thread of its own,
+// so that a slow disk delays nobody; an offer made while another is waiting is dropped. A missing file is
+// normal; one that cannot be decoded is logged in one line and ignored. Memory: one copy of the state and its
+// bytes.
 //
 // Threads: any thread may call offer().
 #pragma once
