--- a/src/net/client_reading.cpp
+++ b/src/net/client_reading.cpp
@@ -22,39 +22,39 @@
 
 // Of what was read last: as many messages as may wait here. What makes no sense ends the reading, after the
 // messages ahead of it.
-void ClientSession::decode_ahead() try {
-  while (!fault_ && !messages_.full()) {
+void ClientSession::decode_pending() try {
+  while (!protocol_error_ && !messages_.is_full()) {
     auto message = reader_.next();
     if (!message) break;
-    whole_by_ = Time::max();
+    message_deadline_ = Time::max();
     if (std::holds_alternative<protocol::OtherNotice>(*message))
-      fault_ = "an unknown notification";
+      protocol_error_ = "an unknown notification";
     else
-      messages_.add(std::move(*message), arrived_);
+      messages_.push(std::move(*message), last_read_at_);
   }
 } catch (const protocol::ProtocolError& problem) {
-  fault_ = problem.what();
+  protocol_error_ = problem.what();
 }
 
 // What lies in the socket, and no more than a few reads of it: a client's word that it gives a request up is
 // then often read together with the request. What came while nobody read may have come long ago: it counts
 // from when the socket was last seen empty.
-ClientSession::Came ClientSession::read_some() {
+ClientSession::ReadOutcome ClientSession::read_available() {
   std::array<char, kReadBytes> bytes;
-  Came came = Came::nothing;
+  ReadOutcome came = ReadOutcome::would_block;
   for (int reads = 0; reads < kReadsAtOnce; ++reads) {
-    const auto size = socket_.read_now(bytes.data(), bytes.size());
-    if (size == 0) return Came::end;
+    const auto size = socket_.try_read(bytes.data(), bytes.size());
+    if (size == 0) return ReadOutcome::closed;
     if (!size) {
       unread_since_.reset();
       break;
     }
-    came = Came::something;
-    arrived_ = unread_since_.value_or(now());
+    came = ReadOutcome::data;
+    last_read_at_ = unread_since_.value_or(now());
     reader_.feed({bytes.data(), *size});
     if (*size < bytes.size()) break;
   }
-  decode_ahead();
+  decode_pending();
   return came;
 }
 
@@ -63,137 +63,139 @@
 // by the core.
 // Where there is no memory for its next message a client is read on later: what it has open is owed answers,
 // so its connection is not closed for that.
-bool ClientSession::bound_rest() {
-  const std::size_t pending = reader_.pending(), held = buffered_.bytes();
+bool ClientSession::reserve_partial_message() {
+  const std::size_t pending = reader_.pending(), held = partial_message_reservation_.bytes();
   if (pending == 0)
-    whole_by_ = Time::max(), buffered_ = {};
-  else if (whole_by_ == Time::max())
-    whole_by_ = arrived_ + kMessageWithin;
-  return pending <= held || budget_.try_reserve(buffered_, pending - held);
+    message_deadline_ = Time::max(), partial_message_reservation_ = {};
+  else if (message_deadline_ == Time::max())
+    message_deadline_ = last_read_at_ + kMessageWithin;
+  return pending <= held || budget_.try_reserve(partial_message_reservation_, pending - held);
 }
 
-void ClientSession::hand_in_next() {
-  MessageQueue::Entry next = messages_.take();
-  inbox_.post(to_event(id_, std::move(next.message), next.arrived, names_));
-  decode_ahead();
+void ClientSession::post_next() {
+  MessageQueue::Entry next = messages_.pop();
+  inbox_.post(to_event(id_, std::move(next.message), next.arrived, settings_));
+  decode_pending();
 }
 
-Watched::Look ClientSession::look(Time now, bool asked) {
-  if (reading_over_) return wait_for_end(now);
-  const Look look = read_now(now);
-  return look != Look::ended && !reading_over_ && asked && start_reader() ? Look::taken : look;
+Pollable::PollResult ClientSession::on_ready(Time now, bool asked) {
+  if (reading_stopped_) return wait_for_close(now);
+  const PollResult look = read_and_post(now);
+  return look != PollResult::closed && !reading_stopped_ && asked && start_reader() ? PollResult::handed_over
+                                                                                    : look;
 }
 
-Watched::Look ClientSession::pause(Time now, Time until) {
+Pollable::PollResult ClientSession::back_off(Time now, Time until) {
   if (!unread_since_) unread_since_ = now;
-  due_ = std::max(until, now + kLookAgain);
-  return Look::later;
+  next_due_ = std::max(until, now + kLookAgain);
+  return PollResult::wait_until_due;
 }
 
 // Guards all others in the lobby: one who floods is not read until its turn comes. Guards the engines: what a
 // client asked for that has gone meanwhile is handed to nobody.
-Watched::Look ClientSession::hand_in_all(Time now) {
-  decode_ahead();
-  while (!messages_.empty()) {
-    if (socket_.peer_has_closed()) return Look::ended;
-    const Time turn = served_ > 0 ? now : pace_.next_at(now);
-    if (turn > now || !turns_.try_take()) return pause(now, turn);
-    pace_.took(now);
-    hand_in_next();
+Pollable::PollResult ClientSession::post_all(Time now) {
+  decode_pending();
+  while (!messages_.is_empty()) {
+    if (socket_.peer_has_closed()) return PollResult::closed;
+    const Time turn = results_sent_ > 0 ? now : rate_limiter_.next_permitted(now);
+    if (turn > now || !credits_.try_acquire()) return back_off(now, turn);
+    rate_limiter_.record(now);
+    post_next();
   }
-  return Look::again;
+  return PollResult::wait_readable;
 }
 
-Watched::Look ClientSession::read_now(Time now) try {
-  busy_ = true;  // before the bytes leave the socket, where break_off_idle() sees them
-  due_ = Time::max();
+Pollable::PollResult ClientSession::read_and_post(Time now) try {
+  has_unposted_bytes_ = true;  // before the bytes leave the socket, where break_off_idle() sees them
+  next_due_ = Time::max();
   while (true) {
-    const Look handed_in = hand_in_all(now);
-    if (handed_in != Look::again) return handed_in;
-    if (fault_) return stop_reading(now, *fault_);
-    if (!bound_rest()) {
-      if (now >= whole_by_) return stop_reading(now, "no memory for a message");
-      pause(now, now);
-      due_ = std::min(whole_by_, due_);
-      return Look::later;
+    const PollResult handed_in = post_all(now);
+    if (handed_in != PollResult::wait_readable) return handed_in;
+    if (protocol_error_) return stop_reading(now, *protocol_error_);
+    if (!reserve_partial_message()) {
+      if (now >= message_deadline_) return stop_reading(now, "no memory for a message");
+      back_off(now, now);
+      next_due_ = std::min(message_deadline_, next_due_);
+      return PollResult::wait_until_due;
     }
-    const Came came = read_some();
-    if (came == Came::end) return Look::ended;
-    if (came == Came::nothing) break;
+    const ReadOutcome came = read_available();
+    if (came == ReadOutcome::closed) return PollResult::closed;
+    if (came == ReadOutcome::would_block) break;
   }
-  busy_ = reader_.pending() > 0;
-  if (now >= whole_by_) return stop_reading(now, "stuck inside a message");
-  due_ = whole_by_;
-  return Look::again;
+  has_unposted_bytes_ = reader_.pending() > 0;
+  if (now >= message_deadline_) return stop_reading(now, "stuck inside a message");
+  next_due_ = message_deadline_;
+  return PollResult::wait_readable;
 } catch (const std::exception& problem) {
   log_.write(std::string("a client connection is closed: ") + problem.what());
-  ending_ = "a fault in what it sent";
-  return Look::ended;
+  close_cause_ = "a fault in what it sent";
+  return PollResult::closed;
 }
 
 // Guards the answers that it is owed: nothing more is read, and the core has the connection closed once all
 // that it took of it is answered.
-Watched::Look ClientSession::stop_reading(Time now, const std::string& why) {
+Pollable::PollResult ClientSession::stop_reading(Time now, const std::string& why) {
   log_.write("a client is read no more: " + why);
-  ending_ = "a fault in what it sent";
-  reading_over_ = true;
-  fault_.reset();
+  close_cause_ = "a fault in what it sent";
+  reading_stopped_ = true;
+  protocol_error_.reset();
   reader_ = {};
-  buffered_ = {};
-  busy_ = false;
+  partial_message_reservation_ = {};
+  has_unposted_bytes_ = false;
   inbox_.post(dispatch::Event(dispatch::SessionStalled{id_}));
-  due_ = now + kEndLooks;
-  return Look::later;
+  next_due_ = now + kEndLooks;
+  return PollResult::wait_until_due;
 }
 
 // Its last answers have a while to leave, and `kLinger` more to reach it; then the connection goes whether it
 // reads them or not. Guards the descriptors against a client that never does.
-Watched::Look ClientSession::wait_for_end(Time now) {
-  if (socket_.broken_off_here() || socket_.peer_has_closed()) return Look::ended;
-  if (sender_.finishing() && end_by_ == Time::max()) end_by_ = now + kLastAnswers;
-  if (sender_.finished()) end_by_ = std::min(end_by_, now + kLinger);
-  if (now >= end_by_) return Look::ended;
-  due_ = now + kEndLooks;
-  return Look::later;
+Pollable::PollResult ClientSession::wait_for_close(Time now) {
+  if (socket_.aborted_locally() || socket_.peer_has_closed()) return PollResult::closed;
+  if (sender_.is_closing() && close_deadline_ == Time::max()) close_deadline_ = now + kLastAnswers;
+  if (sender_.is_drained()) close_deadline_ = std::min(close_deadline_, now + kLinger);
+  if (now >= close_deadline_) return PollResult::closed;
+  next_due_ = now + kEndLooks;
+  return PollResult::wait_until_due;
 }
 
 // Guards against a machine that is short of threads: the client loses nothing, the lobby goes on reading it.
 bool ClientSession::start_reader() try {
-  if (served_ < kServedOften || !readers_.places.try_reserve(place_, 1)) return false;
+  if (results_sent_ < kBusyClientResults || !reader_pool_.reader_slots.try_reserve(reader_reservation_, 1))
+    return false;
   thread_ = Thread("client-read", kSmallStack, [this] {
     bool idled = false;
     try {
-      idled = read_busy();
+      idled = run_reader();
     } catch (const std::exception& problem) {
       log_.write(std::string("a client connection is closed: ") + problem.what());
-      ending_ = "a fault in what it sent";
+      close_cause_ = "a fault in what it sent";
     }
-    place_ = {};
-    idled ? readers_.lobby.admit(weak_from_this()) : end();
+    reader_reservation_ = {};
+    idled ? reader_pool_.client_poller.add(weak_from_this()) : on_closed();
   });
   return true;
 } catch (const std::system_error& problem) {
-  place_ = {};
+  reader_reservation_ = {};
   log_.write(std::string("a client gets no reader of its own: ") + problem.what());
   return false;
 }
 
 // What is not whole, has no turn, or makes no sense stays with the session for whoever reads it next.
-bool ClientSession::read_busy() {
+bool ClientSession::run_reader() {
   while (true) {
-    decode_ahead();
-    while (!messages_.empty()) {
-      if (!turns_.take()) return false;  // broken off: end() tells so
+    decode_pending();
+    while (!messages_.is_empty()) {
+      if (!credits_.acquire()) return false;  // broken off: end() tells so
       if (socket_.peer_has_closed()) return false;
-      hand_in_next();
+      post_next();
     }
-    if (fault_ || !bound_rest()) return true;
-    busy_ = reader_.pending() > 0;
+    if (protocol_error_ || !reserve_partial_message()) return true;
+    has_unposted_bytes_ = reader_.pending() > 0;
     // Silent: the lobby reads it on, and sees to it that what has begun is whole in time.
-    const auto waited = socket_.wait_until(std::min(whole_by_, now() + kReaderIdle));
-    if (waited != Socket::Waited::something) return waited == Socket::Waited::nothing;
-    busy_ = true;
-    if (read_some() == Came::end) return false;
+    const auto waited = socket_.wait_readable(std::min(message_deadline_, now() + kReaderIdle));
+    if (waited != Socket::WaitResult::readable) return waited == Socket::WaitResult::timed_out;
+    has_unposted_bytes_ = true;
+    if (read_available() == ReadOutcome::closed) return false;
   }
 }
 
--- a/src/net/client_session.cpp
+++ b/src/net/client_session.cpp
@@ -23,99 +23,103 @@
 
 ClientSession::ClientSession(dispatch::SessionId id, Fd fd, dispatch::Reservation slot,
                              const config::RealSettings& names, dispatch::Budget& budget, Inbox& inbox,
-                             Readers& readers, dispatch::Log& log)
+                             ReaderPool& readers, dispatch::Log& log)
     : id_(id),
-      slot_(std::move(slot)),
-      names_(names),
+      connection_slot_(std::move(slot)),
+      settings_(names),
       budget_(budget),
       inbox_(inbox),
-      readers_(readers),
+      reader_pool_(readers),
       log_(log),
       socket_(std::move(fd)),
-      turns_(kMostWaiting),
-      pace_(kBurst, kBetween),
+      credits_(kMostWaiting),
+      rate_limiter_(kBurst, kBetween),
       sender_(
           kOutboxBytes, socket_, [](const Item& item) { return item.bytes; },
-          [this] { readers_.writer.admit(std::shared_ptr<Watched>(shared_from_this(), &sender_)); }) {
+          [this] {
+            reader_pool_.slow_writer_poller.add(std::shared_ptr<Pollable>(shared_from_this(), &sender_));
+          }) {
   sender_.open();
 }
 
-ClientSession::~ClientSession() { break_off("its session is gone"); }
+ClientSession::~ClientSession() { abort("its session is gone"); }
 
 // Guards the finding of a cause: an answer that a close cuts off is a lost answer for the client. Told once,
 // by whoever breaks it off first.
-void ClientSession::break_off(const char* why) {
-  if (!socket_.broken_off_here() && !sender_.idle())
+void ClientSession::abort(const char* why) {
+  if (!socket_.aborted_locally() && !sender_.is_idle())
     log_.write(std::string("a client connection is broken off with answers unwritten: ") + why);
   sender_.close();
-  turns_.close();
-  socket_.break_off();
+  credits_.close();
+  socket_.abort();
 }
 
 // Guards a request that came while the core was busy, and an answer that is not written yet: they must not be
 // closed upon as if nothing were open.
-bool ClientSession::break_off_idle() {
+bool ClientSession::abort_if_idle() {
   // In the order in which a message passes; only this thread adds answers.
-  if (!sender_.idle() || !socket_.break_off_unread([this] { return !busy_ && !turns_.in_use(); }))
+  if (!sender_.is_idle() ||
+      !socket_.abort_if_nothing_unread([this] { return !has_unposted_bytes_ && !credits_.in_use(); }))
     return false;
-  break_off("idle");
+  abort("idle");
   return true;
 }
 
-void ClientSession::finish_if_settled() {
-  if (!busy_ && !turns_.in_use()) finish();
+void ClientSession::close_after_writes_if_settled() {
+  if (!has_unposted_bytes_ && !credits_.in_use()) close_after_writes();
 }
 
 // Guards against a client that does not read: its answers pile up to the bound, then its connection goes.
-void ClientSession::add(std::string bytes, dispatch::Reservation held, std::size_t counted) {
-  if (!sender_.add(Item{std::move(bytes), std::move(held)}, counted)) break_off("its answers are not read");
+void ClientSession::enqueue(std::string bytes, dispatch::Reservation held, std::size_t counted) {
+  if (!sender_.add(Item{std::move(bytes), std::move(held)}, counted)) abort("its answers are not read");
 }
 
-void ClientSession::say(std::string bytes) {
+void ClientSession::enqueue_bytes(std::string bytes) {
   const std::size_t size = bytes.size();
-  add(std::move(bytes), {}, size);
+  enqueue(std::move(bytes), {}, size);
 }
 
-void ClientSession::serve(dispatch::CallId call, dispatch::Result result) {
-  ++served_;
+void ClientSession::send_result(dispatch::CallId call, dispatch::Result result) {
+  ++results_sent_;
   protocol::Fields fields;
-  if (const auto it = quotes_.find(call); it != quotes_.end()) {
+  if (const auto it = attached_quotes_.find(call); it != attached_quotes_.end()) {
     fields = quote_fields(it->second);
-    quotes_.erase(it);
+    attached_quotes_.erase(it);
   }
-  add(protocol::encode_result(call, result.rows, fields), std::move(result.memory_reservation), sizeof(Item));
+  enqueue(protocol::encode_result(call, result.rows, fields), std::move(result.memory_reservation),
+          sizeof(Item));
 }
 
 // Of calls that were given up nothing more is heard here: the oldest quotes go.
-void ClientSession::quoted(dispatch::CallId call, const queues::Quote& quote) {
-  quotes_[call] = quote;
-  if (quotes_.size() > kMostQuotes) quotes_.erase(quotes_.begin());
+void ClientSession::attach_quote(dispatch::CallId call, const queues::Quote& quote) {
+  attached_quotes_[call] = quote;
+  if (attached_quotes_.size() > kMaxAttachedQuotes) attached_quotes_.erase(attached_quotes_.begin());
 }
 
-void ClientSession::answer_quote(dispatch::CallId call, const queues::Quote& quote) {
-  say(protocol::encode_result(call, "", quote_fields(quote)));
+void ClientSession::send_quote(dispatch::CallId call, const queues::Quote& quote) {
+  enqueue_bytes(protocol::encode_result(call, "", quote_fields(quote)));
 }
 
-void ClientSession::refuse(dispatch::CallId call, Duration come_back_after) {
-  quotes_.erase(call);
+void ClientSession::send_rejection(dispatch::CallId call, Duration come_back_after) {
+  attached_quotes_.erase(call);
   protocol::Fields fields;
   const auto ms = std::chrono::ceil<std::chrono::milliseconds>(come_back_after).count();
   if (ms > 0) fields.emplace("holdoff", std::to_string(ms));
-  say(protocol::encode_error(call, "Shed", fields));
+  enqueue_bytes(protocol::encode_error(call, "Shed", fields));
 }
 
-void ClientSession::fail(dispatch::CallId call, std::string_view why) {
-  quotes_.erase(call);
-  say(protocol::encode_error(call, "Fault", {{"reason", std::string(why)}}));
+void ClientSession::send_failure(dispatch::CallId call, std::string_view why) {
+  attached_quotes_.erase(call);
+  enqueue_bytes(protocol::encode_error(call, "Fault", {{"reason", std::string(why)}}));
 }
 
-void ClientSession::answer_probe(dispatch::CallId call, bool able) {
-  say(protocol::encode_probe_answer(call, able));
+void ClientSession::send_readiness(dispatch::CallId call, bool able) {
+  enqueue_bytes(protocol::encode_probe_answer(call, able));
 }
 
-void ClientSession::end() {
-  const char* why = socket_.broken_off_here() ? "broken off here" : ending_;
-  break_off(why);
+void ClientSession::on_closed() {
+  const char* why = socket_.aborted_locally() ? "broken off here" : close_cause_;
+  abort(why);
   inbox_.post(dispatch::Event(dispatch::SessionClosed{id_, why}));
 }
 
--- a/src/net/engine_link.h
+++ b/src/net/engine_connection.h
@@ -16,47 +16,47 @@
 
 namespace yokestream::net {
 
-class EngineLink : public Watched, public std::enable_shared_from_this<EngineLink> {
+class EngineConnection : public Pollable, public std::enable_shared_from_this<EngineConnection> {
  public:
   // Begins to connect. It never throws and never tells at once: how it went is told by the dock's looks.
-  EngineLink(dispatch::EngineConnectionId id, const config::Endpoint& endpoint, Time deadline,
-             const std::vector<std::string>& report_fields, Inbox& inbox, Poller& writer,
-             figures::Figures& figures);
-  ~EngineLink() override;  // breaks off and joins
+  EngineConnection(dispatch::EngineConnectionId id, const config::Endpoint& endpoint, Time deadline,
+                   const std::vector<std::string>& report_fields, Inbox& inbox, Poller& writer,
+                   figures::Figures& figures);
+  ~EngineConnection() override;  // breaks off and joins
 
   void send(dispatch::AttemptTag tag, EngineRequest request);
   bool withdraw(dispatch::AttemptTag tag);
-  void say(std::string bytes);
-  void break_off();
+  void send_command(std::string bytes);
+  void abort();
 
   // For the dock's thread.
   int descriptor() const override { return socket_.descriptor(); }
-  Look look(Time now, bool asked) override;
-  Time due() const override { return up_ ? whole_by_ : up_by_; }
-  void end() override;
+  PollResult on_ready(Time now, bool asked) override;
+  Time next_due() const override { return connected_ ? response_deadline_ : connect_deadline_; }
+  void on_closed() override;
 
  private:
   struct Item {
     dispatch::AttemptTag tag = 0;
-    std::variant<EngineRequest, std::string> what;  // a request is worded when it leaves
+    std::variant<EngineRequest, std::string> payload;  // a request is worded when it leaves
   };
-  static std::string word(const Item& item);
-  void add(Item item, std::size_t bytes);
-  bool came_up(bool asked);
-  void take(std::string_view bytes);
+  static std::string serialize(const Item& item);
+  void enqueue(Item item, std::size_t bytes);
+  bool complete_connect(bool asked);
+  void handle_bytes(std::string_view bytes);
 
   const dispatch::EngineConnectionId id_;
-  const Time up_by_;
+  const Time connect_deadline_;
   Inbox& inbox_;
-  Poller& writer_;
+  Poller& slow_writer_poller_;
   Socket socket_;
   // The dock's thread only, once it is constructed. In this order: a connection that fails at its begin says
   // why.
   ConnectFailure failure_{"closed or reset by the engine", false};
-  Socket::Begun begun_;
+  Socket::ConnectStatus connect_status_;
   protocol::RespReader reader_;
-  bool up_ = false;
-  Time whole_by_ = Time::max();  // an answer that has begun is whole by then
+  bool connected_ = false;
+  Time response_deadline_ = Time::max();  // an answer that has begun is whole by then
   Sender<Item> sender_;
 };
 
--- a/src/net/events.h
+++ b/src/net/events.h
@@ -34,6 +34,6 @@
   Time until{};
 };
 using DriverEvent = std::variant<dispatch::Event, Accepted, Reloaded, FleetTold, RoutesTold>;
-using Inbox = Mailbox<DriverEvent>;
+using Inbox = EventQueue<DriverEvent>;
 
 }  // namespace yokestream::net
--- a/src/net/feed_follower.cpp
+++ b/src/net/feed_follower.cpp
@@ -35,7 +35,7 @@
   {
     const std::lock_guard lock(mutex_);
     over_ = true;
-    if (socket_) socket_->break_off();
+    if (socket_) socket_->abort();
     news_.notify_all();
   }
   thread_.join();
@@ -45,7 +45,7 @@
   const std::lock_guard lock(mutex_);
   if (feed == feed_) return;
   feed_ = feed;
-  if (socket_) socket_->break_off();
+  if (socket_) socket_->abort();
   news_.notify_all();
 }
 
@@ -93,7 +93,7 @@
     return true;
   }
   const std::string subscription = protocol::encode_subscription(to_string(feed), kPath, last_event_);
-  if (socket.write(subscription) != Socket::Written::all) return true;
+  if (socket.write(subscription) != Socket::WriteResult::all) return true;
   protocol::SseReader reader;
   std::array<char, kReadBytes> bytes;
   bool heard = false, first = true;
--- a/src/net/hand_over.cpp
+++ b/src/net/hand_over.cpp
@@ -76,13 +76,13 @@
       names_(names),
       items_(1) {
   thread_ = Thread("hand-over", kSmallStack, [this] {
-    while (auto item = items_.take()) write(snapshot::encode(std::move(item->learnt), names_, item->at));
+    while (auto item = items_.pop()) write(snapshot::encode(std::move(item->learnt), names_, item->at));
   });
 }
 
 HandOver::~HandOver() { items_.close(); }
 
-void HandOver::offer(policy::LearnedState learnt) { items_.add(Item{std::move(learnt), now()}, 1); }
+void HandOver::offer(policy::LearnedState learnt) { items_.try_push(Item{std::move(learnt), now()}, 1); }
 
 void HandOver::write_now(policy::LearnedState learnt) const {
   write(snapshot::encode(std::move(learnt), names_, now()));
--- a/src/net/hand_over.h
+++ b/src/net/hand_over.h
@@ -38,7 +38,7 @@
 
   const std::string folder_, path_, own_;
   const config::RealSettings& names_;
-  Outbox<Item> items_;
+  BoundedWorkQueue<Item> items_;
   Thread thread_;  // last: it uses the rest
 };
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -28,7 +28,7 @@
 }
 
 Listener::Listener(const config::Config& config, const Gate& gate, dispatch::Budget& slots,
-                   dispatch::Budget& budget, Inbox& inbox, Readers& readers, dispatch::Log& log)
+                   dispatch::Budget& budget, Inbox& inbox, ReaderPool& readers, dispatch::Log& log)
     : fd_(config.listen_fd ? inherited_listener(*config.listen_fd) : listen_on(config.listen)),
       over_(::eventfd(0, EFD_CLOEXEC)),
       gate_(gate),
@@ -79,7 +79,7 @@
       const auto session = std::make_shared<ClientSession>(id, std::move(fd), std::move(slot), names_,
                                                            budget_, inbox_, readers_, log_);
       inbox_.post(Accepted{id, from.sin_addr.s_addr, session});
-      readers_.lobby.admit(session);
+      readers_.client_poller.add(session);
       short_of = false;
       continue;
     }
@@ -94,15 +94,15 @@
 
 Undertaker::Undertaker() : dead_(~std::size_t{0}) {
   thread_ = Thread("undertaker", kSmallStack, [this] {
-    while (dead_.take()) {
+    while (dead_.pop()) {
     }
   });
 }
 Undertaker::~Undertaker() { dead_.finish(); }
 void Undertaker::bury(std::shared_ptr<ClientSession> session) {
-  session->break_off("its session has ended");
-  dead_.add(std::move(session), 0);
+  session->abort("its session has ended");
+  dead_.try_push(std::move(session), 0);
 }
-void Undertaker::bury(std::unique_ptr<Listener> listener) { dead_.add(std::move(listener), 0); }
+void Undertaker::bury(std::unique_ptr<Listener> listener) { dead_.try_push(std::move(listener), 0); }
 
 }  // namespace yokestream::net
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -32,7 +32,7 @@
  public:
   // `slots`: connections that may be there at once; it outlives them, as the listener does not.
   Listener(const config::Config& config, const Gate& gate, dispatch::Budget& slots, dispatch::Budget& budget,
-           Inbox& inbox, Readers& readers, dispatch::Log& log);
+           Inbox& inbox, ReaderPool& readers, dispatch::Log& log);
   ~Listener();
   config::Endpoint endpoint() const { return local_endpoint(fd_); }
 
@@ -46,7 +46,7 @@
   dispatch::Budget& budget_;
   dispatch::Budget& slots_;
   Inbox& inbox_;
-  Readers& readers_;
+  ReaderPool& readers_;
   dispatch::Log& log_;
   std::uint64_t last_session_ = 0;
   Thread thread_;  // last: it uses the rest
@@ -63,7 +63,7 @@
 
  private:
   using Dead = std::variant<std::shared_ptr<ClientSession>, std::unique_ptr<Listener>>;
-  Outbox<Dead> dead_;
+  BoundedWorkQueue<Dead> dead_;
   Thread thread_;
 };
 
--- a/src/net/management.cpp
+++ b/src/net/management.cpp
@@ -19,29 +19,29 @@
 }  // namespace
 
 // One caller: its line, then what of the answer has not left yet.
-class Management::Call : public Watched {
+class Management::Call : public Pollable {
  public:
   Call(Management& door, Fd fd) : door_(door), socket_(std::move(fd)), until_(now() + kCallWithin) {}
 
   int descriptor() const override { return socket_.descriptor(); }
-  Time due() const override { return until_; }
-  void end() override { door_.done(this); }
-  void turn_out() { socket_.break_off(); }
-  Look look(Time now, bool) override {
-    if (now >= until_) return Look::ended;
-    if (!answered_ && !read()) return Look::ended;
-    if (!answered_) return Look::again;
-    const auto written = socket_.write_now(answer_);
-    if (!written) return Look::ended;
+  Time next_due() const override { return until_; }
+  void on_closed() override { door_.done(this); }
+  void turn_out() { socket_.abort(); }
+  PollResult on_ready(Time now, bool) override {
+    if (now >= until_) return PollResult::closed;
+    if (!answered_ && !read()) return PollResult::closed;
+    if (!answered_) return PollResult::wait_readable;
+    const auto written = socket_.try_write(answer_);
+    if (!written) return PollResult::closed;
     answer_.erase(0, *written);
-    return answer_.empty() ? Look::ended : Look::writable;
+    return answer_.empty() ? PollResult::closed : PollResult::wait_writable;
   }
 
  private:
   bool read() {  // false: it has gone without a line
     std::array<char, kReadBytes> bytes;
     for (int reads = 0; reads < kReadsAtOnce; ++reads) {
-      const auto size = socket_.read_now(bytes.data(), bytes.size());
+      const auto size = socket_.try_read(bytes.data(), bytes.size());
       if (!size) break;
       if (*size == 0) reader_.end();
       reader_.feed({bytes.data(), *size});
@@ -63,7 +63,7 @@
   bool answered_ = false;
 };
 
-class Management::Entrance : public Watched {
+class Management::Entrance : public Pollable {
  public:
   Entrance(Management& door, const config::Endpoint& at) : fd_(listen_on(at)), door_(door) {
     if (::fcntl(fd_.get(), F_SETFL, O_NONBLOCK) != 0)
@@ -71,23 +71,23 @@
   }
   const Fd& fd() const { return fd_; }
   int descriptor() const override { return fd_.get(); }
-  Time due() const override { return due_; }
-  void end() override {}
+  Time next_due() const override { return due_; }
+  void on_closed() override {}
   // Guards against an end of descriptors: who waits is let in when some are free again.
-  Look look(Time now, bool) override {
+  PollResult on_ready(Time now, bool) override {
     due_ = Time::max();
     for (std::size_t taken = 0; taken < kMostCalls; ++taken) {
       Fd caller(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
       if (caller) {
         door_.let_in(std::move(caller));
       } else if (errno == EAGAIN) {
-        return Look::again;
+        return PollResult::wait_readable;
       } else if (errno != EINTR && errno != ECONNABORTED) {
         due_ = now + kLookAgain;
-        return Look::later;
+        return PollResult::wait_until_due;
       }
     }
-    return Look::again;  // the rest after the others have had their turn
+    return PollResult::wait_readable;  // the rest after the others have had their turn
   }
 
  private:
@@ -102,7 +102,7 @@
       on_yes_(std::move(on_yes)),
       entrance_(std::make_shared<Entrance>(*this, at)),
       poller_("operators") {
-  poller_.admit(entrance_);
+  poller_.add(entrance_);
 }
 
 Management::~Management() = default;
@@ -116,7 +116,7 @@
     calls_.pop_front();
   }
   calls_.push_back(std::make_shared<Call>(*this, std::move(fd)));
-  poller_.admit(std::weak_ptr<Watched>(calls_.back()));
+  poller_.add(std::weak_ptr<Pollable>(calls_.back()));
 }
 
 void Management::done(const Call* call) {
--- a/src/net/message_queue.cpp
+++ b/src/net/message_queue.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-bool MessageQueue::withdraw(std::uint64_t id) {
+bool MessageQueue::remove(std::uint64_t id) {
   const auto it = std::find_if(entries_.begin(), entries_.end(),
                                [&](const Entry& entry) { return is_request(entry.message, id); });
   if (it == entries_.end()) return false;
@@ -21,9 +21,9 @@
   return true;
 }
 
-void MessageQueue::add(protocol::ClientMessage message, Time arrived) {
+void MessageQueue::push(protocol::ClientMessage message, Time arrived) {
   const auto* give_up = std::get_if<protocol::GiveUp>(&message);
-  if (give_up && withdraw(give_up->id)) return;
+  if (give_up && remove(give_up->id)) return;
   entries_.push_back({std::move(message), arrived});
 }
 
--- a/src/net/message_queue.h
+++ b/src/net/message_queue.h
@@ -15,23 +15,23 @@
 
 class MessageQueue {
  public:
-  static constexpr std::size_t kMost = 64;
+  static constexpr std::size_t kMaxMessages = 64;
   struct Entry {
     protocol::ClientMessage message;
     Time arrived{};  // its last byte
   };
 
-  bool empty() const { return entries_.empty(); }
-  bool full() const { return entries_.size() >= kMost; }
-  void add(protocol::ClientMessage message, Time arrived);
-  Entry take() {  // must not be empty
+  bool is_empty() const { return entries_.empty(); }
+  bool is_full() const { return entries_.size() >= kMaxMessages; }
+  void push(protocol::ClientMessage message, Time arrived);
+  Entry pop() {  // must not be empty
     Entry first = std::move(entries_.front());
     entries_.pop_front();
     return first;
   }
 
  private:
-  bool withdraw(std::uint64_t id);
+  bool remove(std::uint64_t id);
 
   std::deque<Entry> entries_;
 };
--- a/src/net/poller.cpp
+++ b/src/net/poller.cpp
@@ -31,7 +31,7 @@
 Poller::~Poller() {
   {
     const std::lock_guard lock(mutex_);
-    over_ = true;
+    stopping_ = true;
   }
   wake();
   thread_.join();
@@ -39,10 +39,10 @@
 
 void Poller::wake() { raise_event(wake_); }
 
-void Poller::admit(std::weak_ptr<Watched> connection) {
+void Poller::add(std::weak_ptr<Pollable> connection) {
   {
     const std::lock_guard lock(mutex_);
-    coming_.push_back(std::move(connection));
+    pending_.push_back(std::move(connection));
   }
   wake();
 }
@@ -50,73 +50,75 @@
 // One shot: a connection is named once and then again only after it has been looked at. Guards against a
 // system that has no room to watch one more: nobody would read it, and what it asks would find no answer. It
 // is looked at all the time instead, until there is room.
-void Poller::watch(std::uint64_t number, Guest& guest, Watched::Look look) {
+void Poller::arm(std::uint64_t number, Registration& guest, Pollable::PollResult look) {
   epoll_event event{};
-  event.events = EPOLLONESHOT | (look == Watched::Look::writable ? EPOLLOUT : EPOLLRDHUP);
-  if (look == Watched::Look::again) event.events |= EPOLLIN;
+  event.events = EPOLLONESHOT | (look == Pollable::PollResult::wait_writable ? EPOLLOUT : EPOLLRDHUP);
+  if (look == Pollable::PollResult::wait_readable) event.events |= EPOLLIN;
   event.data.u64 = number;
-  const int operation = guest.watched ? EPOLL_CTL_MOD : EPOLL_CTL_ADD;
-  guest.watched = ::epoll_ctl(epoll_.get(), operation, guest.connection->descriptor(), &event) == 0;
+  const int operation = guest.armed ? EPOLL_CTL_MOD : EPOLL_CTL_ADD;
+  guest.armed = ::epoll_ctl(epoll_.get(), operation, guest.connection->descriptor(), &event) == 0;
 }
 
-void Poller::take_in() {
+void Poller::register_pending() {
   std::uint64_t count = 0;
   [[maybe_unused]] const auto read = ::read(wake_.get(), &count, sizeof count);
-  std::vector<std::weak_ptr<Watched>> coming;
+  std::vector<std::weak_ptr<Pollable>> coming;
   {
     const std::lock_guard lock(mutex_);
-    coming.swap(coming_);
+    coming.swap(pending_);
   }
   for (const auto& weak : coming) {
     auto connection = weak.lock();
     if (!connection) continue;  // gone meanwhile
-    guests_[++last_].connection = std::move(connection);
-    look_at(last_, false);
+    registrations_[++last_token_].connection = std::move(connection);
+    notify(last_token_, false);
   }
 }
 
-void Poller::leave(std::uint64_t number) {
-  const auto it = guests_.find(number);
-  due_.erase({it->second.due, number});
-  if (it->second.watched)
+void Poller::unregister(std::uint64_t number) {
+  const auto it = registrations_.find(number);
+  due_times_.erase({it->second.due, number});
+  if (it->second.armed)
     ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, it->second.connection->descriptor(), nullptr);
-  guests_.erase(it);
+  registrations_.erase(it);
 }
 
-void Poller::look_at(std::uint64_t number, bool asked) {
-  const auto it = guests_.find(number);
-  if (it == guests_.end()) return;
-  Guest& guest = it->second;
+void Poller::notify(std::uint64_t number, bool asked) {
+  const auto it = registrations_.find(number);
+  if (it == registrations_.end()) return;
+  Registration& guest = it->second;
   const auto connection = guest.connection;
-  due_.erase({guest.due, number});
+  due_times_.erase({guest.due, number});
   guest.due = Time::max();
-  const auto look = connection->look(now(), asked);
-  if (look == Watched::Look::ended || look == Watched::Look::taken) {
-    leave(number);
-    return look == Watched::Look::ended ? connection->end() : void();
+  const auto look = connection->on_ready(now(), asked);
+  if (look == Pollable::PollResult::closed || look == Pollable::PollResult::handed_over) {
+    unregister(number);
+    return look == Pollable::PollResult::closed ? connection->on_closed() : void();
   }
-  if (look != Watched::Look::later) watch(number, guest, look);
-  guest.due = connection->due();
-  if (look != Watched::Look::later && !guest.watched) guest.due = std::min(guest.due, now() + kLookAgain);
-  if (guest.due != Time::max()) due_.emplace(guest.due, number);
+  if (look != Pollable::PollResult::wait_until_due) arm(number, guest, look);
+  guest.due = connection->next_due();
+  if (look != Pollable::PollResult::wait_until_due && !guest.armed)
+    guest.due = std::min(guest.due, now() + kLookAgain);
+  if (guest.due != Time::max()) due_times_.emplace(guest.due, number);
 }
 
 void Poller::run() {
   std::array<epoll_event, kAtOnce> events;
   while (true) {
-    const Time next = due_.empty() ? Time::max() : due_.begin()->first;
+    const Time next = due_times_.empty() ? Time::max() : due_times_.begin()->first;
     const int count =
         ::epoll_wait(epoll_.get(), events.data(), static_cast<int>(events.size()), milliseconds_until(next));
     {
       const std::lock_guard lock(mutex_);
-      if (over_) return;
+      if (stopping_) return;
     }
     for (int i = 0; i < count; ++i) {
       const std::uint64_t number = events[static_cast<std::size_t>(i)].data.u64;
-      number == kWake ? take_in() : look_at(number, true);
+      number == kWake ? register_pending() : notify(number, true);
     }
     const Time time = now();
-    while (!due_.empty() && due_.begin()->first <= time) look_at(due_.begin()->second, false);
+    while (!due_times_.empty() && due_times_.begin()->first <= time)
+      notify(due_times_.begin()->second, false);
   }
 }
 
--- a/src/net/poller.h
+++ b/src/net/poller.h
@@ -24,18 +24,18 @@
 namespace yokestream::net {
 
 // A connection as the poller sees it. All calls come from the poller's thread.
-class Watched {
+class Pollable {
  public:
   // When there is more to read or, while it is being set up, to write; at `due()`; never, as it has ended;
   // never here, as something else reads it from now on.
-  enum class Look { again, writable, later, ended, taken };
-  virtual ~Watched() = default;
+  enum class PollResult { wait_readable, wait_writable, wait_until_due, closed, handed_over };
+  virtual ~Pollable() = default;
   virtual int descriptor() const = 0;
   // Handles what has come, without waiting. `asked`: something has come, or it can be written now; else it is
   // new here, or due.
-  virtual Look look(Time now, bool asked) = 0;
-  virtual Time due() const = 0;  // when to look again though nothing has come; Time::max(): never
-  virtual void end() = 0;        // it has ended: its last look said so
+  virtual PollResult on_ready(Time now, bool asked) = 0;
+  virtual Time next_due() const = 0;  // when to look again though nothing has come; Time::max(): never
+  virtual void on_closed() = 0;       // it has ended: its last look said so
 };
 
 class Poller {
@@ -44,29 +44,29 @@
       const char* name);  // throws std::system_error; `name`: of its thread, 15 characters at most
   ~Poller();              // reads no more; joins
   // From any thread: reads this connection from now on.
-  void admit(std::weak_ptr<Watched> connection);
+  void add(std::weak_ptr<Pollable> connection);
 
  private:
-  struct Guest {
-    std::shared_ptr<Watched> connection;
+  struct Registration {
+    std::shared_ptr<Pollable> connection;
     Time due = Time::max();
-    bool watched = false;  // the system names it when something comes
+    bool armed = false;  // the system names it when something comes
   };
   void run();
-  void take_in();
-  void look_at(std::uint64_t number, bool asked);
-  void watch(std::uint64_t number, Guest& guest, Watched::Look look);
-  void leave(std::uint64_t number);
+  void register_pending();
+  void notify(std::uint64_t number, bool asked);
+  void arm(std::uint64_t number, Registration& guest, Pollable::PollResult look);
+  void unregister(std::uint64_t number);
   void wake();
 
   Fd epoll_, wake_;
   std::mutex mutex_;
-  std::vector<std::weak_ptr<Watched>> coming_;  // guarded
-  bool over_ = false;                           // guarded
+  std::vector<std::weak_ptr<Pollable>> pending_;  // guarded
+  bool stopping_ = false;                         // guarded
   // The poller's thread only. Numbers are given once, so that what is named late is taken for no other.
-  std::uint64_t last_ = 0;
-  std::map<std::uint64_t, Guest> guests_;
-  std::set<std::pair<Time, std::uint64_t>> due_;
+  std::uint64_t last_token_ = 0;
+  std::map<std::uint64_t, Registration> registrations_;
+  std::set<std::pair<Time, std::uint64_t>> due_times_;
   Thread thread_;  // last: it uses the rest
 };
 
--- a/src/net/queue.h
+++ b/src/net/queue.h
@@ -13,9 +13,9 @@
 
 // Many writers, one reader. A full mailbox makes its writers wait, never its reader.
 template <class Event>
-class Mailbox {
+class EventQueue {
  public:
-  explicit Mailbox(std::size_t bound) : bound_(bound) {}
+  explicit EventQueue(std::size_t bound) : bound_(bound) {}
 
   void post(Event event) {
     std::unique_lock lock(mutex_);
@@ -27,7 +27,7 @@
     if (events_.size() == 1) news_.notify_one();
   }
   // All that has come, as soon as there is something or `deadline` has passed.
-  std::deque<Event> take_until(Time deadline) {
+  std::deque<Event> drain_until(Time deadline) {
     std::unique_lock lock(mutex_);
     const auto any = [&] { return !events_.empty(); };
     if (deadline == Time::max())
@@ -39,7 +39,7 @@
     room_.notify_all();
     return taken;
   }
-  std::size_t waiting() {  // writers that wait for room
+  std::size_t blocked_writers() {  // writers that wait for room
     const std::lock_guard lock(mutex_);
     return waiting_;
   }
@@ -60,53 +60,53 @@
 
 // How many messages of one peer may wait in the mailbox. Guards all others against a peer that floods it:
 // that one waits for its own messages to be taken.
-class Turns {
+class MessageCredits {
  public:
-  explicit Turns(std::size_t all) : all_(all), free_(all) {}
-  bool take() {  // waits; false: closed
+  explicit MessageCredits(std::size_t all) : capacity_(all), available_(all) {}
+  bool acquire() {  // waits; false: closed
     std::unique_lock lock(mutex_);
-    news_.wait(lock, [&] { return free_ > 0 || closed_; });
+    changed_.wait(lock, [&] { return available_ > 0 || closed_; });
     if (closed_) return false;
-    --free_;
+    --available_;
     return true;
   }
-  bool try_take() {  // false: none is free
+  bool try_acquire() {  // false: none is free
     const std::lock_guard lock(mutex_);
-    if (free_ == 0) return false;
-    --free_;
+    if (available_ == 0) return false;
+    --available_;
     return true;
   }
-  void give_back() {
+  void release() {
     const std::lock_guard lock(mutex_);
-    ++free_;
-    news_.notify_one();
+    ++available_;
+    changed_.notify_one();
   }
   bool in_use() {
     const std::lock_guard lock(mutex_);
-    return free_ < all_;
+    return available_ < capacity_;
   }
   void close() {
     const std::lock_guard lock(mutex_);
     closed_ = true;
-    news_.notify_all();
+    changed_.notify_all();
   }
 
  private:
   std::mutex mutex_;
-  std::condition_variable news_;
-  const std::size_t all_;
-  std::size_t free_;
+  std::condition_variable changed_;
+  const std::size_t capacity_;
+  std::size_t available_;
   bool closed_ = false;
 };
 
 // What waits for a thread that works it off. Never makes the one who adds to it wait: over the bound it
 // refuses.
 template <class Item>
-class Outbox {
+class BoundedWorkQueue {
  public:
-  explicit Outbox(std::size_t bound_bytes) : bound_(bound_bytes) {}
+  explicit BoundedWorkQueue(std::size_t bound_bytes) : bound_(bound_bytes) {}
 
-  bool add(Item item, std::size_t bytes) {
+  bool try_push(Item item, std::size_t bytes) {
     const std::lock_guard lock(mutex_);
     if (closed_ || bytes_ + bytes > bound_) return false;
     bytes_ += bytes;
@@ -115,7 +115,7 @@
     return true;
   }
   // The next item for the writer; nullopt once closed, or finished and empty.
-  std::optional<Item> take() {
+  std::optional<Item> pop() {
     std::unique_lock lock(mutex_);
     news_.wait(lock, [&] { return !items_.empty() || closed_ || finishing_; });
     if (closed_ || items_.empty()) return std::nullopt;
--- a/src/net/pace.h
+++ b/src/net/rate_limiter.h
@@ -9,19 +9,21 @@
 
 // Guards the core against a client that asks as fast as it is refused: beyond a burst its messages are read
 // at a steady pace. A client that is served is never slowed.
-class Pace {
+class RateLimiter {
  public:
   using Time = policy::Time;
   using Duration = policy::Duration;
-  Pace(int burst, Duration between) : burst_(burst * between), between_(between) {}
+  RateLimiter(int burst, Duration between) : burst_allowance_(burst * between), interval_(between) {}
 
   // When the next message may be taken in; `now` where that is at once.
-  Time next_at(Time now) const { return std::max(now, std::max(owed_until_, now) + between_ - burst_); }
-  void took(Time now) { owed_until_ = std::max(owed_until_, now) + between_; }
+  Time next_permitted(Time now) const {
+    return std::max(now, std::max(charged_until_, now) + interval_ - burst_allowance_);
+  }
+  void record(Time now) { charged_until_ = std::max(charged_until_, now) + interval_; }
 
  private:
-  const Duration burst_, between_;
-  Time owed_until_{};
+  const Duration burst_allowance_, interval_;
+  Time charged_until_{};
 };
 
 }  // namespace yokestream::net
--- a/src/net/sender.h
+++ b/src/net/sender.h
@@ -26,7 +26,7 @@
 namespace yokestream::net {
 
 template <class Item>
-class Sender : public Watched {
+class Sender : public Pollable {
  public:
   using Word = std::function<std::string(const Item&)>;
   using Slow = std::function<void()>;
@@ -72,20 +72,20 @@
     }
     return false;
   }
-  bool idle() {  // all that was added has left
+  bool is_idle() {  // all that was added has left
     const std::lock_guard lock(mutex_);
     return left();
   }
-  void finish() {  // the connection ends once all is written
+  void close_after_writes() {  // the connection ends once all is written
     const std::lock_guard lock(mutex_);
     finishing_ = true;
-    if (left()) socket_.finish_writing();
+    if (left()) socket_.shutdown_write();
   }
-  bool finishing() {  // finish() was called
+  bool is_closing() {  // finish() was called
     const std::lock_guard lock(mutex_);
     return finishing_;
   }
-  bool finished() {  // and all has left
+  bool is_drained() {  // and all has left
     const std::lock_guard lock(mutex_);
     return finishing_ && left();
   }
@@ -96,24 +96,24 @@
 
   // For the thread that writes for slow peers.
   int descriptor() const override { return socket_.descriptor(); }
-  Look look(Time, bool) override {
+  PollResult on_ready(Time, bool) override {
     const std::lock_guard lock(mutex_);
     due_ = Time::max();
-    if (!closed_ && write_on() == Went::in_part) return wrote_ ? Look::writable : look_later();
+    if (!closed_ && write_on() == Went::in_part) return wrote_ ? PollResult::wait_writable : look_later();
     watched_ = false;
-    return Look::taken;  // by who adds
+    return PollResult::handed_over;  // by who adds
   }
-  Time due() const override { return due_; }
-  void end() override {}
+  Time next_due() const override { return due_; }
+  void on_closed() override {}
 
  private:
   enum class Went { all, in_part, broken };
   static constexpr Duration kNoBuffer = std::chrono::milliseconds(10);
 
   // Guards the processor where the system has no buffer: the socket could be written, and takes nothing.
-  Look look_later() {
+  PollResult look_later() {
     due_ = now() + kNoBuffer;
-    return Look::later;
+    return PollResult::wait_until_due;
   }
   // All under the lock.
   bool left() const { return items_.empty() && begun_.empty(); }
@@ -135,8 +135,8 @@
         continue;
       }
       std::string bytes = fresh ? word_(items_.front().first) : std::exchange(begun_, {});
-      const auto written = socket_.write_now(bytes);
-      if (!written) return socket_.break_off(), Went::broken;
+      const auto written = socket_.try_write(bytes);
+      if (!written) return socket_.abort(), Went::broken;
       wrote_ = wrote_ || *written > 0;
       if (fresh && *written == 0) return Went::in_part;
       if (fresh) {
@@ -149,7 +149,7 @@
       if (whole_) whole_(*writing_);
       writing_.reset();
     }
-    if (finishing_) socket_.finish_writing();
+    if (finishing_) socket_.shutdown_write();
     return Went::all;
   }
 
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -125,7 +125,7 @@
     if (listener_ && !manager_.lifecycle().accepts_connections(time)) undertaker_.bury(std::move(listener_));
     heed_operators();
     if (keeper_) look_at_part(), look_at_routes();
-    auto events = inbox_.take_until(manager_.next_due());
+    auto events = inbox_.drain_until(manager_.next_due());
     const Time began = now();
     const std::size_t count = events.size();
     for (auto& event : events) {
@@ -183,7 +183,7 @@
     close(id);
   } else {
     manager_.handle(now(), std::move(told));
-    if (auto* s = sender ? find(*sender) : nullptr) s->taken();
+    if (auto* s = sender ? find(*sender) : nullptr) s->release_message_credit();
   }
 }
 
@@ -195,8 +195,8 @@
   const Time until = now() + kLastWrites;
   bool first = true;  // a connection accepted last may wait in the inbox
   while ((std::exchange(first, false) || !sessions_.empty()) && now() < until) {
-    for (auto& [id, session] : sessions_) session->finish_if_settled();
-    for (auto& event : inbox_.take_until(std::min(until, now() + kLastLooks))) take(std::move(event));
+    for (auto& [id, session] : sessions_) session->close_after_writes_if_settled();
+    for (auto& event : inbox_.drain_until(std::min(until, now() + kLastLooks))) take(std::move(event));
     manager_.tick(now());
   }
 }
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -8,7 +8,7 @@
 #include "config/config.h"
 #include "dispatch/dispatcher.h"
 #include "net/client_session.h"
-#include "net/engine_link.h"
+#include "net/engine_connection.h"
 #include "net/events.h"
 #include "net/feed_follower.h"
 #include "net/fleet_keeper.h"
@@ -67,7 +67,7 @@
   void close(dispatch::EngineConnectionId link) override;
 
   ClientSession* find(dispatch::SessionId session);
-  EngineLink* find(dispatch::EngineConnectionId link);
+  EngineConnection* find(dispatch::EngineConnectionId link);
 
   const config::Config& config_;
   dispatch::Log& log_;
@@ -75,10 +75,10 @@
   Inbox inbox_;
   // Before all that holds connections: engines and clients are read there, slow ones of both written to.
   Poller dock_, lobby_, writer_;
-  Readers readers_;
+  ReaderPool readers_;
   Undertaker undertaker_;
-  std::map<dispatch::SessionId, std::shared_ptr<ClientSession>> sessions_;     // the core's thread only
-  std::map<dispatch::EngineConnectionId, std::shared_ptr<EngineLink>> links_;  // the core's thread only
+  std::map<dispatch::SessionId, std::shared_ptr<ClientSession>> sessions_;           // the core's thread only
+  std::map<dispatch::EngineConnectionId, std::shared_ptr<EngineConnection>> links_;  // the core's thread only
   Time next_slow_note_{};
   dispatch::Dispatcher manager_;
   std::unique_ptr<FeedFollower> feed_;
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -73,8 +73,8 @@
 }
 
 bool Socket::connect(const config::Endpoint& endpoint, Time deadline, ConnectFailure* failure) {
-  const Begun begun = begin_connect(endpoint, failure);
-  if (begun != Begun::pending) return begun == Begun::up;
+  const ConnectStatus begun = start_connect(endpoint, failure);
+  if (begun != ConnectStatus::pending) return begun == ConnectStatus::connected;
   pollfd writable{fd_.get(), POLLOUT, 0};
   while (true) {
     const int ready = ::poll(&writable, 1, milliseconds_until(deadline));
@@ -86,18 +86,18 @@
 
 // The descriptor is opened and the connection begun under the lock: break_off() comes before either, and
 // nothing is begun, or after both, and ends it.
-Socket::Begun Socket::begin_connect(const config::Endpoint& endpoint, ConnectFailure* failure) {
+Socket::ConnectStatus Socket::start_connect(const config::Endpoint& endpoint, ConnectFailure* failure) {
   const std::lock_guard lock(mutex_);
-  if (broken_) return *failure = {"broken off", false}, Begun::failed;
+  if (aborted_) return *failure = {"broken off", false}, ConnectStatus::failed;
   fd_ = Fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-  if (!fd_) return *failure = {std::strerror(errno), true}, Begun::failed;
+  if (!fd_) return *failure = {std::strerror(errno), true}, ConnectStatus::failed;
   const sockaddr_in address = address_of(endpoint);
   const int begun = ::connect(fd_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
-  if (begun == 0) return finish_connect(failure) ? Begun::up : Begun::failed;
+  if (begun == 0) return finish_connect(failure) ? ConnectStatus::connected : ConnectStatus::failed;
   // Interrupted, it goes on by itself; a second call would fail with EALREADY.
-  if (errno == EINPROGRESS || errno == EINTR) return Begun::pending;
+  if (errno == EINPROGRESS || errno == EINTR) return ConnectStatus::pending;
   *failure = failure_of(errno);
-  return Begun::failed;
+  return ConnectStatus::failed;
 }
 
 bool Socket::finish_connect(ConnectFailure* failure) {
@@ -113,22 +113,22 @@
 
 // What ended and what is only silent is told apart by the kernel's word alone, never by the clock: a bounded
 // wait that ends before the deadline it was set for is no end of the connection.
-Socket::Waited Socket::wait_until(Time deadline) {
+Socket::WaitResult Socket::wait_readable(Time deadline) {
   char first = 0;
   const auto got = receive(&first, 1, deadline, MSG_PEEK);
-  if (got > 0) return Waited::something;
-  return got < 0 && is_passing(errno) ? Waited::nothing : Waited::ended;
+  if (got > 0) return WaitResult::readable;
+  return got < 0 && is_passing(errno) ? WaitResult::timed_out : WaitResult::closed;
 }
 
 std::size_t Socket::read_until(char* into, std::size_t size, Time deadline) {
   return static_cast<std::size_t>(std::max<std::ptrdiff_t>(0, receive(into, size, deadline, 0)));
 }
 
-std::optional<std::size_t> Socket::read_now(char* into, std::size_t size) {
+std::optional<std::size_t> Socket::try_read(char* into, std::size_t size) {
   const std::lock_guard lock(mutex_);
-  while (!broken_) {
+  while (!aborted_) {
     const ssize_t got = ::recv(fd_.get(), into, size, MSG_DONTWAIT);
-    if (got > 0 && finished_) return std::nullopt;
+    if (got > 0 && write_shut_down_) return std::nullopt;
     if (got >= 0) return static_cast<std::size_t>(got);
     if (is_passing(errno)) return std::nullopt;
     if (errno != EINTR) return 0;
@@ -136,7 +136,7 @@
   return 0;
 }
 
-std::optional<std::size_t> Socket::write_now(std::string_view bytes) {
+std::optional<std::size_t> Socket::try_write(std::string_view bytes) {
   std::size_t done = 0;
   while (done < bytes.size()) {
     const ssize_t sent =
@@ -150,31 +150,31 @@
 }
 
 std::ptrdiff_t Socket::receive(char* into, std::size_t size, Time deadline, int flags) {
-  if (deadline == Time::max() && std::exchange(bounded_, false)) {
+  if (deadline == Time::max() && std::exchange(read_timeout_set_, false)) {
     const timeval forever{0, 0};
     setsockopt(fd_.get(), SOL_SOCKET, SO_RCVTIMEO, &forever, sizeof forever);
   }
   ssize_t got = 0;
   do {
     // Set before each call: a process that is stopped and goes on finds its bounded reads interrupted.
-    if (deadline != Time::max()) bound_by(fd_.get(), SO_RCVTIMEO, deadline), bounded_ = true;
+    if (deadline != Time::max()) bound_by(fd_.get(), SO_RCVTIMEO, deadline), read_timeout_set_ = true;
     got = ::recv(fd_.get(), into, size, flags);
   } while (got < 0 && errno == EINTR);
   return got;
 }
 
-Socket::Written Socket::write(std::string_view bytes) {
+Socket::WriteResult Socket::write(std::string_view bytes) {
   const std::size_t size = bytes.size();
   while (!bytes.empty()) {
     const ssize_t sent = ::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
     if (sent < 0 && errno == EINTR) continue;
-    if (sent <= 0) return bytes.size() == size ? Written::none : Written::some;
+    if (sent <= 0) return bytes.size() == size ? WriteResult::none : WriteResult::partial;
     bytes.remove_prefix(static_cast<std::size_t>(sent));
   }
-  return Written::all;
+  return WriteResult::all;
 }
 
-bool Socket::unread() const {
+bool Socket::has_unread_bytes() const {
   int bytes = 0;
   return fd_ && ::ioctl(fd_.get(), FIONREAD, &bytes) == 0 && bytes > 0;
 }
@@ -187,19 +187,19 @@
   return (peer.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-void Socket::finish_writing() {
+void Socket::shutdown_write() {
   const std::lock_guard lock(mutex_);
-  finished_ = true;
-  if (fd_ && !broken_) ::shutdown(fd_.get(), SHUT_WR);
+  write_shut_down_ = true;
+  if (fd_ && !aborted_) ::shutdown(fd_.get(), SHUT_WR);
 }
 
-void Socket::break_off() {
+void Socket::abort() {
   const std::lock_guard lock(mutex_);
-  broken_off();
+  abort_locked();
 }
 
-void Socket::broken_off() {
-  broken_ = true;
+void Socket::abort_locked() {
+  aborted_ = true;
   if (fd_) ::shutdown(fd_.get(), SHUT_RDWR);
 }
 
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -48,56 +48,56 @@
 
   bool connect(const config::Endpoint& endpoint, Time deadline, ConnectFailure* failure);
   // The same without waiting: begins, and once the descriptor can be written tells how it went.
-  enum class Begun { up, pending, failed };
-  Begun begin_connect(const config::Endpoint& endpoint, ConnectFailure* failure);
+  enum class ConnectStatus { connected, pending, failed };
+  ConnectStatus start_connect(const config::Endpoint& endpoint, ConnectFailure* failure);
   bool finish_connect(ConnectFailure* failure);
   // Waits until there is something to read; it stays in the socket. `nothing`: none came, and the connection
   // stands; it may be told a moment before `deadline`, as some kernels end a bounded wait early.
-  enum class Waited { something, nothing, ended };
-  Waited wait_until(Time deadline);
+  enum class WaitResult { readable, timed_out, closed };
+  WaitResult wait_readable(Time deadline);
   // The bytes that came; 0: the end, or broken off, or nothing came by `deadline`.
   std::size_t read_until(char* into, std::size_t size, Time deadline);
   // The same without waiting: what lies in the socket; 0: the end, or broken off; nullopt: nothing yet.
   // Nothing is read once it is broken off: what the peer sent meanwhile is reset, so that it knows that
   // nobody took it.
-  std::optional<std::size_t> read_now(char* into, std::size_t size);
-  enum class Written { all, some, none };
-  Written write(std::string_view bytes);  // some: broken, and some of it may have left; none: nothing has
+  std::optional<std::size_t> try_read(char* into, std::size_t size);
+  enum class WriteResult { all, partial, none };
+  WriteResult write(std::string_view bytes);  // some: broken, and some of it may have left; none: nothing has
   // What the socket takes without waiting, in bytes; nullopt: it is broken. A lack of buffers is no break: it
   // takes less, or nothing, for now.
-  std::optional<std::size_t> write_now(std::string_view bytes);
+  std::optional<std::size_t> try_write(std::string_view bytes);
   int descriptor() const { return fd_.get(); }  // to wait on; not to be read, written or closed
-  void break_off();                             // whoever reads or writes returns
+  void abort();                                 // whoever reads or writes returns
   // Has the peer closed its side, or reset the connection, though bytes of it may still be unread?
   bool peer_has_closed() const;
   // Nothing more is written, and the peer learns that. What it still sends is read and dropped, so that
   // closing the descriptor does not reset a connection on which answers are on their way.
-  void finish_writing();
-  bool broken_off_here() {  // by break_off(), not by the peer
+  void shutdown_write();
+  bool aborted_locally() {  // by break_off(), not by the peer
     const std::lock_guard lock(mutex_);
-    return broken_;
+    return aborted_;
   }
   // The same where no bytes have come that no one has read, and `may` agrees; else false. No read comes
   // between.
   template <class May>
-  bool break_off_unread(May may) {
+  bool abort_if_nothing_unread(May may) {
     const std::lock_guard lock(mutex_);
-    if (unread() || !may()) return false;
-    broken_off();
+    if (has_unread_bytes() || !may()) return false;
+    abort_locked();
     return true;
   }
 
  private:
-  bool unread() const;
-  void broken_off();
+  bool has_unread_bytes() const;
+  void abort_locked();
   // As recv() tells it: below 0 with errno, EAGAIN where nothing came by `deadline`.
   std::ptrdiff_t receive(char* into, std::size_t size, Time deadline, int flags);
 
   std::mutex mutex_;
   Fd fd_;
-  bool broken_ = false;
-  bool finished_ = false;  // guarded: finish_writing() was called
-  bool bounded_ = false;   // the reader's own: does a deadline bound its reads?
+  bool aborted_ = false;
+  bool write_shut_down_ = false;   // guarded: finish_writing() was called
+  bool read_timeout_set_ = false;  // the reader's own: does a deadline bound its reads?
 };
 
 Fd listen_on(const config::Endpoint& endpoint);  // throws std::system_error
--- a/src/standin/engine_server.cpp
+++ b/src/standin/engine_server.cpp
@@ -61,7 +61,7 @@
     const std::lock_guard lock(mutex_);
     over_ = true;
     ::shutdown(listener_.get(), SHUT_RDWR);
-    for (auto& connection : connections_) connection.socket.break_off();
+    for (auto& connection : connections_) connection.socket.abort();
     news_.notify_all();
   }
   acceptor_.join();
@@ -105,7 +105,7 @@
       while (reader.next(words)) obey(connection, words);
     }
   } catch (const std::exception&) {
-    connection.socket.break_off();
+    connection.socket.abort();
   }
   const std::lock_guard lock(mutex_);
   // Closing the connection gives up everything open on it.
--- a/src/standin/load_client.cpp
+++ b/src/standin/load_client.cpp
@@ -258,7 +258,7 @@
                                            {"ms", number},
                                            {"mb", std::to_string(static_cast<int>(load_.memory))}},
                                           statement);
-    if (c->socket->write_now(bytes) != bytes.size()) return over(t, nullptr);
+    if (c->socket->try_write(bytes) != bytes.size()) return over(t, nullptr);
     c->open.emplace(call, std::pair(t, net::now() + load_.patience + std::chrono::milliseconds(200)));
   };
 
@@ -297,7 +297,7 @@
       State::Connection& c = state.connections[i];
       bool ended = false;
       if (polled[i].revents != 0) {
-        const auto size = c.socket->read_now(bytes.data(), bytes.size());
+        const auto size = c.socket->try_read(bytes.data(), bytes.size());
         ended = size == 0;
         if (size) c.came.append(bytes.data(), *size);
         Reply reply;
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -19,7 +19,7 @@
 std::optional<std::size_t> write_by(net::Socket& socket, std::string_view bytes, net::Time deadline) {
   std::size_t written = 0;
   while (written < bytes.size()) {
-    const auto now_taken = socket.write_now(bytes.substr(written));
+    const auto now_taken = socket.try_write(bytes.substr(written));
     if (!now_taken) return std::nullopt;
     written += *now_taken;
     if (written == bytes.size()) break;
@@ -87,7 +87,7 @@
 void CancellableSocket::stop() {
   const std::lock_guard lock(mutex_);
   stopped_ = true;
-  if (socket_) socket_->break_off();
+  if (socket_) socket_->abort();
 }
 
 Client::Client(std::vector<config::Endpoint> addresses, std::uint64_t seed, net::Time::duration spread)
@@ -96,7 +96,7 @@
 // The one that was kept open, if the store has not closed it meanwhile; else a new one.
 net::Socket* Client::connected(net::Time deadline, net::ConnectFailure* failure) {
   char stray = 0;
-  if (net::Socket* kept = connection_.get(); kept && !kept->read_now(&stray, 1)) return kept;
+  if (net::Socket* kept = connection_.get(); kept && !kept->try_read(&stray, 1)) return kept;
   net::Socket* fresh = connection_.renew();
   failure->why = "stopped";
   return fresh && fresh->connect(addresses_.current(), deadline, failure) ? fresh : nullptr;
--- a/src/store/watcher.cpp
+++ b/src/store/watcher.cpp
@@ -39,7 +39,7 @@
   net::ConnectFailure failure;
   const std::string bytes = http_of(encode(watch), at);
   // a call of some hundred bytes fits what a new connection takes at once
-  if (socket && socket->connect(at, deadline, &failure) && socket->write_now(bytes) == bytes.size())
+  if (socket && socket->connect(at, deadline, &failure) && socket->try_write(bytes) == bytes.size())
     parser_ = std::make_unique<Parser>();
   else
     connection_.drop();
@@ -68,7 +68,7 @@
   bool good = true;
   while (good && is_open()) {
     net::Socket* socket = connection_.get();
-    const auto size = socket ? socket->read_now(bytes.data(), bytes.size()) : std::size_t{0};
+    const auto size = socket ? socket->try_read(bytes.data(), bytes.size()) : std::size_t{0};
     if (!size) break;
     boost::system::error_code error;
     parser_->held.append(bytes.data(), *size);
--- a/tests/node/net_client_test.cpp
+++ b/tests/node/net_client_test.cpp
@@ -21,10 +21,10 @@
     client.say(call(number, "0123456789abcde" + std::to_string(number), "select 1"));
     char first = 0;
     REQUIRE(::recv(descriptor, &first, 1, MSG_PEEK) == 1);
-    CHECK((session->look(net::now(), true) == net::Watched::Look::again));
-    REQUIRE(reading.inbox.take_until(Time::max()).size() == 1);
-    session->taken();
-    session->serve(static_cast<dispatch::CallId>(number), {"row" + std::to_string(number), {}});
+    CHECK((session->on_ready(net::now(), true) == net::Pollable::PollResult::wait_readable));
+    REQUIRE(reading.inbox.drain_until(Time::max()).size() == 1);
+    session->release_message_credit();
+    session->send_result(static_cast<dispatch::CallId>(number), {"row" + std::to_string(number), {}});
     CHECK(client.until("row" + std::to_string(number)));
   }
 }
@@ -38,27 +38,28 @@
   char first = 0;
   REQUIRE(::recv(fd.get(), &first, 1, MSG_PEEK) == 1);
   const auto session = reading.session(std::move(fd));
-  CHECK_FALSE(session->break_off_idle());  // unread: nobody reads yet
-  CHECK((session->look(net::now(), true) == net::Watched::Look::again));
-  CHECK(reading.inbox.take_until(Time::max()).size() == 1);
-  CHECK_FALSE(session->break_off_idle());  // handed in, and not taken yet
-  session->taken();
-  CHECK_FALSE(session->break_off_idle());  // half read
-  CHECK((session->due() != Time::max()));  // it has until then to be whole
+  CHECK_FALSE(session->abort_if_idle());  // unread: nobody reads yet
+  CHECK((session->on_ready(net::now(), true) == net::Pollable::PollResult::wait_readable));
+  CHECK(reading.inbox.drain_until(Time::max()).size() == 1);
+  CHECK_FALSE(session->abort_if_idle());  // handed in, and not taken yet
+  session->release_message_credit();
+  CHECK_FALSE(session->abort_if_idle());        // half read
+  CHECK((session->next_due() != Time::max()));  // it has until then to be whole
   // Stuck inside its message it is read no more, and what it has open is still answered.
-  CHECK((session->look(session->due(), false) == net::Watched::Look::later));
-  const auto told = reading.inbox.take_until(Time::max());
+  CHECK((session->on_ready(session->next_due(), false) == net::Pollable::PollResult::wait_until_due));
+  const auto told = reading.inbox.drain_until(Time::max());
   REQUIRE(told.size() == 1);
   CHECK(std::holds_alternative<dispatch::SessionStalled>(std::get<dispatch::Event>(told[0])));
   client.say(call(2, "0123456789abcde0", "select 2"));
-  CHECK((session->look(session->due(), false) == net::Watched::Look::later));
-  CHECK(reading.inbox.take_until(net::now()).empty());
-  session->serve(1, {"row1", {}});
+  CHECK((session->on_ready(session->next_due(), false) == net::Pollable::PollResult::wait_until_due));
+  CHECK(reading.inbox.drain_until(net::now()).empty());
+  session->send_result(1, {"row1", {}});
   CHECK(client.until("row1"));
-  session->finish();
+  session->close_after_writes();
   CHECK_FALSE(client.until("anything"));  // half closed: nothing follows
-  CHECK((session->look(net::now(), false) == net::Watched::Look::later));
-  CHECK((session->look(net::now() + 1s, false) == net::Watched::Look::ended));  // though the client lingers
+  CHECK((session->on_ready(net::now(), false) == net::Pollable::PollResult::wait_until_due));
+  CHECK((session->on_ready(net::now() + 1s, false) ==
+         net::Pollable::PollResult::closed));  // though the client lingers
 }
 
 // Its connection was closed upon what it had open.
@@ -69,19 +70,19 @@
   const auto read = [&] {  // the first byte has come, and with it all that was written at once
     char first = 0;
     REQUIRE(::recv(pair.socket.descriptor(), &first, 1, MSG_PEEK) == 1);
-    return session->look(net::now(), true);
+    return session->on_ready(net::now(), true);
   };
   dispatch::Reservation rest;
   REQUIRE(reading.budget.try_reserve(rest, (1 << 20) - 10));
   const std::string bytes = call(1, "0123456789abcdef", "select 1");
   pair.peer.say(bytes.substr(0, 20));
-  CHECK((read() == net::Watched::Look::later));
-  CHECK((session->due() != Time::max()));
+  CHECK((read() == net::Pollable::PollResult::wait_until_due));
+  CHECK((session->next_due() != Time::max()));
   rest = {};
-  CHECK((session->look(session->due(), false) == net::Watched::Look::again));
+  CHECK((session->on_ready(session->next_due(), false) == net::Pollable::PollResult::wait_readable));
   pair.peer.say(bytes.substr(20));
-  CHECK((read() == net::Watched::Look::again));
-  CHECK(reading.inbox.take_until(Time::max()).size() == 1);
+  CHECK((read() == net::Pollable::PollResult::wait_readable));
+  CHECK(reading.inbox.drain_until(Time::max()).size() == 1);
 }
 
 TEST_CASE("what comes on a connection that is broken off is not read") {
@@ -91,9 +92,9 @@
   client.say("late");
   char bytes[16];
   REQUIRE(::recv(accepted.descriptor(), bytes, 1, MSG_PEEK) == 1);  // it has come
-  CHECK_FALSE(accepted.break_off_unread([] { return true; }));
-  accepted.break_off();
-  CHECK(accepted.read_now(bytes, sizeof bytes) == std::size_t{0});
+  CHECK_FALSE(accepted.abort_if_nothing_unread([] { return true; }));
+  accepted.abort();
+  CHECK(accepted.try_read(bytes, sizeof bytes) == std::size_t{0});
 }
 
 // A writer thread of its own was started for it, and where none could be had the connection was closed.
@@ -104,9 +105,9 @@
   const auto session = reading.session(Fd(::dup(pair.socket.descriptor())));
   short_of_all = 100;
   for (dispatch::CallId call = 1; call <= 40; ++call)
-    session->serve(call, {std::string(40'000, static_cast<char>('0' + call)), {}});
+    session->send_result(call, {std::string(40'000, static_cast<char>('0' + call)), {}});
   short_of_all = 0;
-  CHECK_FALSE(session->break_off_idle());
+  CHECK_FALSE(session->abort_if_idle());
   for (char call = 1; call <= 40; ++call)
     CHECK(pair.peer.until(std::string(40'000, static_cast<char>('0' + call))));
 }
--- a/tests/node/net_crossing_test.cpp
+++ b/tests/node/net_crossing_test.cpp
@@ -40,14 +40,14 @@
   Fd accepted{::accept(listening.fd.get(), nullptr, nullptr)};
   int descriptor = accepted.get();
   std::shared_ptr<net::ClientSession> session = reading.session(std::move(accepted));
-  std::size_t handed_in() { return reading.inbox.take_until(net::now()).size(); }
+  std::size_t handed_in() { return reading.inbox.drain_until(net::now()).size(); }
 };
 
 TEST_CASE_FIXTURE(HeldClient, "a request given up before it is read is handed to nobody, and others are") {
   client->say(call(1, "0123456789abcde1", "select 1") + call(2, "0123456789abcde2", "select 2") + give_up(1));
   wait_for_bytes(descriptor);
-  CHECK((session->look(net::now(), true) == net::Watched::Look::again));
-  const auto told = reading.inbox.take_until(net::now());
+  CHECK((session->on_ready(net::now(), true) == net::Pollable::PollResult::wait_readable));
+  const auto told = reading.inbox.drain_until(net::now());
   REQUIRE(told.size() == 1);
   CHECK(std::get<dispatch::RequestReceived>(std::get<dispatch::Event>(told[0])).call == 2);
 }
@@ -57,7 +57,7 @@
   client->say(call(1, "0123456789abcde1", "select 1"));
   client.reset();
   wait_for_end(descriptor);
-  CHECK((session->look(net::now(), true) == net::Watched::Look::ended));
+  CHECK((session->on_ready(net::now(), true) == net::Pollable::PollResult::closed));
   CHECK(handed_in() == 0);
 }
 
@@ -67,7 +67,7 @@
   ::setsockopt(client->socket.descriptor(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
   client.reset();
   wait_for_end(descriptor);
-  CHECK((session->look(net::now(), true) == net::Watched::Look::ended));
+  CHECK((session->on_ready(net::now(), true) == net::Pollable::PollResult::closed));
   CHECK(handed_in() == 0);
 }
 
@@ -79,13 +79,13 @@
     client->say(some);
   }
   wait_for_bytes(descriptor);
-  while (session->look(net::now(), true) != net::Watched::Look::later) {
+  while (session->on_ready(net::now(), true) != net::Pollable::PollResult::wait_until_due) {
   }
   const auto taken = handed_in();
   client.reset();
   wait_for_end(descriptor);
-  for (std::size_t i = 0; i < taken; ++i) session->taken();
-  CHECK((session->look(session->due(), false) == net::Watched::Look::ended));
+  for (std::size_t i = 0; i < taken; ++i) session->release_message_credit();
+  CHECK((session->on_ready(session->next_due(), false) == net::Pollable::PollResult::closed));
   CHECK(handed_in() == 0);
 }
 
@@ -97,13 +97,13 @@
   client->say(first.substr(0, 40));
   wait_for_bytes(descriptor);
   const Time paused = net::now();
-  CHECK((session->look(paused, true) == net::Watched::Look::later));
+  CHECK((session->on_ready(paused, true) == net::Pollable::PollResult::wait_until_due));
   client->say(first.substr(40) + call(2, "0123456789abcde2", "select 2"));
   wait_for_bytes(descriptor);
   rest = {};
   while (net::now() < paused + 20ms) ::poll(nullptr, 0, 1);  // the wait is what is measured here
-  CHECK((session->look(net::now(), false) == net::Watched::Look::again));
-  const auto told = reading.inbox.take_until(net::now());
+  CHECK((session->on_ready(net::now(), false) == net::Pollable::PollResult::wait_readable));
+  const auto told = reading.inbox.drain_until(net::now());
   REQUIRE(told.size() == 2);
   for (const auto& event : told)
     CHECK((std::get<dispatch::RequestReceived>(std::get<dispatch::Event>(event)).deadline <= paused + 4s));
@@ -113,24 +113,25 @@
   client->say("\x05");
   wait_for_bytes(descriptor);
   const Time stopped = net::now();
-  CHECK((session->look(stopped, true) == net::Watched::Look::later));
-  for (dispatch::CallId call = 1; call <= 200; ++call) session->serve(call, {std::string(40'000, 'a'), {}});
-  CHECK(
-      (session->look(stopped + 10s, false) == net::Watched::Look::later));  // the core has not let it go yet
-  session->finish();
-  CHECK((session->look(stopped + 11s, false) == net::Watched::Look::later));
-  CHECK((session->look(stopped + 14s, false) == net::Watched::Look::ended));
+  CHECK((session->on_ready(stopped, true) == net::Pollable::PollResult::wait_until_due));
+  for (dispatch::CallId call = 1; call <= 200; ++call)
+    session->send_result(call, {std::string(40'000, 'a'), {}});
+  CHECK((session->on_ready(stopped + 10s, false) ==
+         net::Pollable::PollResult::wait_until_due));  // the core has not let it go yet
+  session->close_after_writes();
+  CHECK((session->on_ready(stopped + 11s, false) == net::Pollable::PollResult::wait_until_due));
+  CHECK((session->on_ready(stopped + 14s, false) == net::Pollable::PollResult::closed));
 }
 
 TEST_CASE_FIXTURE(HeldClient, "a session is not finished upon a message that the core has not taken") {
   client->say(call(1, "0123456789abcde1", "select 1"));
   wait_for_bytes(descriptor);
-  CHECK((session->look(net::now(), true) == net::Watched::Look::again));
-  session->finish_if_settled();
-  session->taken();
-  session->refuse(1, {});
+  CHECK((session->on_ready(net::now(), true) == net::Pollable::PollResult::wait_readable));
+  session->close_after_writes_if_settled();
+  session->release_message_credit();
+  session->send_rejection(1, {});
   CHECK(client->until("Shed"));  // it was not half closed before
-  session->finish_if_settled();
+  session->close_after_writes_if_settled();
   CHECK_FALSE(client->until("anything"));
 }
 
@@ -142,13 +143,13 @@
   auto socket = std::make_unique<Socket>(Fd(::accept(listening.fd.get(), nullptr, nullptr)));
   const int some = 64 * 1024;
   setsockopt(socket->descriptor(), SOL_SOCKET, SO_SNDBUF, &some, sizeof some);
-  const auto taken = socket->write_now(std::string(1 << 20, 'a'));
+  const auto taken = socket->try_write(std::string(1 << 20, 'a'));
   REQUIRE(taken.value_or(0) > 8 * small);  // more than the peer has room for: some of it has not reached it
-  socket->finish_writing();
+  socket->shutdown_write();
   peer.say("late");
   wait_for_bytes(socket->descriptor());
   char bytes[16];
-  CHECK_FALSE(socket->read_now(bytes, sizeof bytes).has_value());  // dropped, and no end yet
+  CHECK_FALSE(socket->try_read(bytes, sizeof bytes).has_value());  // dropped, and no end yet
   socket.reset();
   setsockopt(peer.socket.descriptor(), SOL_SOCKET, SO_RCVBUF, &some, sizeof some);
   std::size_t came = 0;
@@ -186,7 +187,7 @@
     while (full.size() < 64) {
       full.push_back(std::make_unique<Socket>());
       net::ConnectFailure failure;
-      if (full.back()->begin_connect(at, &failure) == Socket::Begun::up) continue;
+      if (full.back()->start_connect(at, &failure) == Socket::ConnectStatus::connected) continue;
       pollfd up{full.back()->descriptor(), POLLOUT, 0};
       if (::poll(&up, 1, 50) == 0) return;  // this one waits: the next ones will, too
     }
@@ -221,7 +222,7 @@
       char bytes[4096];
       for (std::size_t i = links.size(); i-- > 0;) {
         if (!all[i + 1].revents) continue;
-        const auto size = links[i]->socket.read_now(bytes, sizeof bytes);
+        const auto size = links[i]->socket.try_read(bytes, sizeof bytes);
         if (size == 0) links.erase(links.begin() + static_cast<long>(i));
         seen.append(bytes, size.value_or(0));
       }
--- a/tests/node/net_faults_test.cpp
+++ b/tests/node/net_faults_test.cpp
@@ -126,10 +126,10 @@
   Peer client(listener.endpoint());
   const long cut = polls_cut;
   while (polls_cut < cut + 1000) std::this_thread::yield();
-  CHECK(reading.inbox.take_until(net::now()).empty());
+  CHECK(reading.inbox.drain_until(net::now()).empty());
   polls_interrupted = false;
   gate.open();
-  const auto told = reading.inbox.take_until(Time::max());
+  const auto told = reading.inbox.drain_until(Time::max());
   REQUIRE(told.size() == 1);
   CHECK(std::holds_alternative<net::Accepted>(told[0]));
   reading.inbox.close();
--- a/tests/node/net_feed_test.cpp
+++ b/tests/node/net_feed_test.cpp
@@ -37,8 +37,9 @@
   Peer old = first.accept();
   REQUIRE(old.until("Last-Event-ID: 1\r\n"));
   old.say(kGood + event(2, "e2", first.at) + event(3, "e3", first.at) + event(4, "e4", first.at));
-  while (inbox.waiting() == 0) std::this_thread::yield();  // the follower holds an event that has no room
-  follower.follow(second.at);                              // returns though nobody takes anything
+  while (inbox.blocked_writers() == 0)
+    std::this_thread::yield();  // the follower holds an event that has no room
+  follower.follow(second.at);   // returns though nobody takes anything
   // What it holds goes on; then it asks the new address for what follows the last that it posted.
   std::vector<int> told;
   std::optional<Peer> next;
@@ -49,10 +50,10 @@
     came = true;
   });
   while (!came) {
-    for (const auto& event : inbox.take_until(net::now() + 5ms)) told.push_back(number_of(event));
+    for (const auto& event : inbox.drain_until(net::now() + 5ms)) told.push_back(number_of(event));
   }
   accepting.join();
-  for (const auto& event : inbox.take_until(net::now())) told.push_back(number_of(event));
+  for (const auto& event : inbox.drain_until(net::now())) told.push_back(number_of(event));
   REQUIRE_FALSE(told.empty());
   for (std::size_t i = 0; i < told.size(); ++i) CHECK(told[i] == static_cast<int>(i) + 2);
   next.emplace(std::move(accepted));
@@ -97,7 +98,7 @@
   next.say(kGood + state_event(2, "e1", engine.at, "draining"));
   Peer third(running.server->endpoint());
   // The core has heard of it once the follower asks no more for it.
-  next.socket.break_off();
+  next.socket.abort();
   Peer after = feed.accept();
   REQUIRE(after.until("Last-Event-ID: 2\r\n"));
   third.say(call(1, "0123456789abcde1", "select 1"));
@@ -133,8 +134,8 @@
   other_client.say(call(2, "0123456789abcde2", "select 1", "look"));
   CHECK(other_client.until("unknown class"));
   // One that may run twice in one of them, and in the other must not: its connection is reset.
-  link.socket.break_off();
-  other_link.socket.break_off();
+  link.socket.abort();
+  other_link.socket.abort();
   CHECK(client.until("Fault"));
   Peer again = other.accept();
   CHECK(again.until("0123456789abcde1"));
--- a/tests/node/net_fickle.h
+++ b/tests/node/net_fickle.h
@@ -74,7 +74,7 @@
   // Whole commands, each a line of its parts; false: the connection goes.
   bool read(Peer& peer) {
     char bytes[4096];
-    const auto size = peer.socket.read_now(bytes, sizeof bytes);
+    const auto size = peer.socket.try_read(bytes, sizeof bytes);
     if (size == 0) return false;
     peer.came.append(bytes, size.value_or(0));
     while (true) {
@@ -106,7 +106,7 @@
         out += "$" + std::to_string(part.size()) + "\r\n" + part + "\r\n";
       if (takes_ > Duration{} && std::string_view(word) == "served")
         return due_.push_back({net::now() + takes_, &peer, std::move(out)}), true;
-      return peer.socket.write(out) == Socket::Written::all;
+      return peer.socket.write(out) == Socket::WriteResult::all;
     };
     if (parts[0] == "HELO") return say("green", "-", "-");
     if (parts[0] == "FETCH") return say("rows", "index=" + parts[2], "a\tb\t" + parts[1] + "\n");
@@ -180,7 +180,7 @@
     bytes += '\xc5';
     bytes += static_cast<char>(statement.size() >> 8);
     bytes += static_cast<char>(statement.size() & 255);
-    return socket.write(bytes + statement) == Socket::Written::all;
+    return socket.write(bytes + statement) == Socket::WriteResult::all;
   }
   // Waits for the next answer; false: the connection has ended without one.
   bool hear() {
--- a/tests/node/net_peers.h
+++ b/tests/node/net_peers.h
@@ -38,7 +38,7 @@
     }
     return false;
   }
-  void say(const std::string& bytes) { CHECK(socket.write(bytes) == Socket::Written::all); }
+  void say(const std::string& bytes) { CHECK(socket.write(bytes) == Socket::WriteResult::all); }
   Socket socket;
   std::string came;
 };
--- a/tests/node/net_reading.h
+++ b/tests/node/net_reading.h
@@ -18,7 +18,7 @@
   net::Inbox inbox{200};
   dispatch::Budget budget{1 << 20};
   net::Poller lobby{"lobby"}, writer{"writer"};
-  net::Readers readers;
+  net::ReaderPool readers;
 };
 
 }  // namespace yokestream::test
--- a/tests/node/net_sender_test.cpp
+++ b/tests/node/net_sender_test.cpp
@@ -1,23 +1,23 @@
 // What leaves on one connection, and at what pace one is read.
 #include <doctest/doctest.h>
 
-#include "net/pace.h"
+#include "net/rate_limiter.h"
 #include "net_peers.h"
 
 namespace yokestream::test {
 namespace {
 
 TEST_CASE("beyond a burst messages are taken in at a steady pace, for a client that is never served") {
-  net::Pace pace(3, 10ms);
+  net::RateLimiter pace(3, 10ms);
   const Time start{1000s};
   for (int i = 0; i < 3; ++i) {
-    CHECK((pace.next_at(start) == start));
-    pace.took(start);
+    CHECK((pace.next_permitted(start) == start));
+    pace.record(start);
   }
-  CHECK((pace.next_at(start) == start + 10ms));
-  CHECK((pace.next_at(start + 10ms) == start + 10ms));
-  pace.took(start + 10ms);
-  CHECK((pace.next_at(start + 10ms) == start + 20ms));
+  CHECK((pace.next_permitted(start) == start + 10ms));
+  CHECK((pace.next_permitted(start + 10ms) == start + 10ms));
+  pace.record(start + 10ms);
+  CHECK((pace.next_permitted(start + 10ms) == start + 20ms));
 }
 
 // A sender whose peer a poller of its own writes to while it is slow.
@@ -39,8 +39,8 @@
 }
 
 Sending::Sending(std::size_t bound)
-    : sender(std::make_shared<net::Sender<Written>>(bound, pair.socket, word,
-                                                    [this] { writer.admit(sender); })) {}
+    : sender(
+          std::make_shared<net::Sender<Written>>(bound, pair.socket, word, [this] { writer.add(sender); })) {}
 
 TEST_CASE("an item whose grant is over never leaves, and is found again as never sent; the others leave") {
   Pair pair;
@@ -48,9 +48,9 @@
   net::Sender<Written> sender(
       1000, pair.socket, word, [] {}, {}, until);
   for (int n = 1; n <= 3; ++n) CHECK(sender.add({n}, 10));
-  CHECK(sender.idle() == false);  // not up yet
+  CHECK(sender.is_idle() == false);  // not up yet
   sender.open();
-  CHECK(sender.idle());
+  CHECK(sender.is_idle());
   CHECK(pair.peer.until("<1><3>"));
   const auto is = [](int n) { return [n](const Written& i) { return i.number == n; }; };
   CHECK_FALSE(sender.withdraw(is(1)));
@@ -68,7 +68,7 @@
   sender.open();
   CHECK(sender.add({2}, 10));
   CHECK_FALSE(sender.withdraw(is(2)));  // it has left
-  pair.socket.break_off();
+  pair.socket.abort();
   CHECK_FALSE(sender.add({3}, 10));
   CHECK(sender.withdraw(is(3)));
   sender.close();
@@ -84,7 +84,7 @@
   auto& sender = *sending.sender;
   CHECK(sender.add({1}, 10));
   CHECK(sender.add({2}, 10));
-  pair.socket.break_off();
+  pair.socket.abort();
   sender.open();
   for (int n = 1; n <= 2; ++n) CHECK(sender.withdraw([n](const Written& i) { return i.number == n; }));
 }
@@ -95,13 +95,13 @@
   Pair& pair = sending.pair;
   auto& sender = *sending.sender;
   sender.open();
-  CHECK(sender.idle());
+  CHECK(sender.is_idle());
   const std::size_t large = 200'000;  // more than any socket takes
   CHECK(sender.add({1, large}, 1000));
-  CHECK_FALSE(sender.idle());
+  CHECK_FALSE(sender.is_idle());
   for (int i = 2; i <= 3; ++i) CHECK(sender.add({i}, 900));
   CHECK_FALSE(sender.add({4}, 900));
-  sender.finish();
+  sender.close_after_writes();
   CHECK(pair.peer.until("<1><2><3>"));
   CHECK_FALSE(pair.peer.until("<4>"));  // and the connection ends
 }
--- a/tests/node/net_test.cpp
+++ b/tests/node/net_test.cpp
@@ -88,17 +88,18 @@
   figures::Figures figures({});
   net::Poller dock("dock"), writer("writer");
   const auto before = threads();
-  std::vector<std::shared_ptr<net::EngineLink>> links;
+  std::vector<std::shared_ptr<net::EngineConnection>> links;
   const auto open = [&](const config::Endpoint& at) {
     const dispatch::EngineConnectionId id{static_cast<std::uint64_t>(links.size())};
-    links.push_back(std::make_shared<net::EngineLink>(id, at, Time::max(), fields, inbox, writer, figures));
-    dock.admit(links.back());
+    links.push_back(
+        std::make_shared<net::EngineConnection>(id, at, Time::max(), fields, inbox, writer, figures));
+    dock.add(links.back());
   };
   std::vector<std::unique_ptr<Peer>> ends;
   for (int i = 0; i < 40; ++i) {
     open(engine.at);
     ends.emplace_back(new Peer(engine.accept()));
-    links.back()->say("*2\r\n$4\r\nHELO\r\n$1\r\n1\r\n");
+    links.back()->send_command("*2\r\n$4\r\nHELO\r\n$1\r\n1\r\n");
     CHECK(ends.back()->until("HELO"));
   }
   CHECK(threads() == before);
@@ -108,7 +109,7 @@
   ends.clear();
   std::size_t up = 0, ended = 0;
   while (ended < links.size()) {
-    for (const auto& event : inbox.take_until(Time::max())) {
+    for (const auto& event : inbox.drain_until(Time::max())) {
       const auto& told = std::get<dispatch::Event>(event);
       up += std::holds_alternative<dispatch::EngineConnected>(told);
       ended += std::holds_alternative<dispatch::EngineDisconnected>(told);
--- a/tests/processes/program.cpp
+++ b/tests/processes/program.cpp
@@ -121,7 +121,7 @@
   std::string answer;
   net::ConnectFailure failure;
   if (!socket.connect(door, net::Time::max(), &failure)) return {};
-  if (socket.write(line + "\n") != net::Socket::Written::all) return {};
+  if (socket.write(line + "\n") != net::Socket::WriteResult::all) return {};
   char bytes[4096];
   while (const auto size = socket.read_until(bytes, sizeof bytes, net::Time::max()))
     answer.append(bytes, size);
