--- /dev/null
+++ b/src/net/bounded_work_queue.h
@@ -0,0 +1,63 @@
+// Work for one thread, bounded in bytes.
+#pragma once
+
+#include <condition_variable>
+#include <cstddef>
+#include <deque>
+#include <mutex>
+#include <optional>
+#include <utility>
+
+namespace yokestream::net {
+
+// Many producers, one consumer. Owns the items until they are popped. A producer never waits: beyond the
+// bound its item is rejected.
+template <class Item>
+class BoundedWorkQueue {
+ public:
+  explicit BoundedWorkQueue(std::size_t bound_bytes) : bound_bytes_(bound_bytes) {}
+
+  // `bytes`: what the item counts against the bound. False: over the bound, or closed.
+  bool try_push(Item item, std::size_t bytes) {
+    const std::lock_guard lock(mutex_);
+    if (closed_ || queued_bytes_ + bytes > bound_bytes_) return false;
+    queued_bytes_ += bytes;
+    items_.emplace_back(std::move(item), bytes);
+    changed_.notify_one();
+    return true;
+  }
+  // Waits for the next item; nullopt once closed, or finished and empty.
+  std::optional<Item> pop() {
+    std::unique_lock lock(mutex_);
+    changed_.wait(lock, [&] { return !items_.empty() || closed_ || finishing_; });
+    if (closed_ || items_.empty()) return std::nullopt;
+    Item item = std::move(items_.front().first);
+    queued_bytes_ -= items_.front().second;
+    items_.pop_front();
+    return item;
+  }
+  // The consumer stops once all items are popped.
+  void finish() {
+    const std::lock_guard lock(mutex_);
+    finishing_ = true;
+    changed_.notify_all();
+  }
+  // The consumer stops at once; what is queued is dropped.
+  void close() {
+    const std::lock_guard lock(mutex_);
+    closed_ = true;
+    changed_.notify_all();
+  }
+
+ private:
+  const std::size_t bound_bytes_;
+  std::mutex mutex_;
+  std::condition_variable changed_;
+  // All guarded by mutex_.
+  std::deque<std::pair<Item, std::size_t>> items_;  // with their bytes
+  std::size_t queued_bytes_ = 0;
+  bool finishing_ = false;
+  bool closed_ = false;
+};
+
+}  // namespace yokestream::net
--- a/src/net/client_call.cpp
+++ b/src/net/client_call.cpp
@@ -12,16 +12,16 @@
 namespace yokestream::net {
 namespace {
 
-constexpr double kMostWorkMs = 1e7;                        // hours
-constexpr double kMostMemoryMb = 1e7;                      // of the largest machines
+constexpr double kMaxWorkMs = 1e7;                         // hours
+constexpr double kMaxMemoryMb = 1e7;                       // of the largest machines
 constexpr Duration kClockSlack = std::chrono::seconds(1);  // by which a client may wait longer than its class
 
-const std::string* field(const protocol::Call& call, const std::string& name) {
+const std::string* find_field(const protocol::Call& call, const std::string& name) {
   const auto it = call.fields.find(name);
   return it == call.fields.end() ? nullptr : &it->second;
 }
 
-std::optional<double> real(const std::string& text) {
+std::optional<double> parse_real(const std::string& text) {
   double n = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), n);
   if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(n)) return std::nullopt;
@@ -29,13 +29,14 @@
 }
 
 template <class Id>
-std::optional<Id> position(const std::vector<std::string>& names, const std::string& name) {
+std::optional<Id> index_of(const std::vector<std::string>& names, const std::string& name) {
   const auto it = std::find(names.begin(), names.end(), name);
   if (it == names.end()) return std::nullopt;
   return Id{static_cast<std::uint32_t>(it - names.begin())};
 }
 
-// Guards the connections to engines: what an engine can't read ends all that runs on its connection.
+// Failure: an engine cannot parse a statement. Symptom: it closes the connection with all that runs on it.
+// Guard: control characters are rejected here.
 bool is_statement(std::string_view text) {
   return !text.empty() && std::none_of(text.begin(), text.end(), [](unsigned char c) {
     return (c < 0x20 && c != '\t' && c != '\n' && c != '\r') || c == 0x7f;
@@ -46,10 +47,10 @@
   return text.size() == 16 && text.find_first_not_of("0123456789abcdefABCDEF") == std::string::npos;
 }
 
-// `quote` is a call that is not served: its class comes as a field, all else as in the call itself.
+// `quote` asks for a forecast only: its class comes as a field, all else as in the call itself.
 bool is_quote(protocol::Call& call, const config::RealSettings& names) {
   if (!names.quote_method || call.method != "quote") return false;
-  const auto* cls = field(call, "class");
+  const auto* cls = find_field(call, "class");
   call.method = cls ? *cls : "";
   return true;
 }
@@ -62,35 +63,36 @@
   dispatch::RequestReceived out;
   out.session = session;
   out.call = call.id;
-  const auto cls = position<policy::ClassId>(names.classes, call.method);
+  const auto cls = index_of<policy::ClassId>(names.classes, call.method);
   if (!cls) return bad("unknown class");
   out.query_class = *cls;
-  const auto* id = field(call, "req");
+  const auto* id = find_field(call, "req");
   if (!id || !is_request_id(*id)) return bad("bad field req");
   out.request_id = *id;
-  const auto* timeout = field(call, "timeout");
-  const auto left = timeout ? real(*timeout) : std::nullopt;
-  const Duration most = names.deadlines[static_cast<std::size_t>(out.query_class)] + kClockSlack;
-  if (!left || *left <= 0 || *left * 1e6 > static_cast<double>(most.count())) return bad("bad field timeout");
+  const auto* timeout = find_field(call, "timeout");
+  const auto left = timeout ? parse_real(*timeout) : std::nullopt;
+  const Duration max_timeout = names.deadlines[static_cast<std::size_t>(out.query_class)] + kClockSlack;
+  if (!left || *left <= 0 || *left * 1e6 > static_cast<double>(max_timeout.count()))
+    return bad("bad field timeout");
   out.deadline = arrived + Duration(static_cast<Duration::rep>(*left * 1e6));
   if (!names.tenants.empty()) {
-    const auto* owner = field(call, "owner");
-    const auto tenant = owner ? position<policy::TenantId>(names.tenants, *owner) : std::nullopt;
+    const auto* owner = find_field(call, "owner");
+    const auto tenant = owner ? index_of<policy::TenantId>(names.tenants, *owner) : std::nullopt;
     if (!tenant) return bad("unknown owner");
     out.tenant = *tenant;
   }
-  if (const auto* ms = field(call, "ms")) {
-    const auto work = real(*ms);
-    if (!work || *work < 0 || *work > kMostWorkMs) return bad("bad field ms");
+  if (const auto* ms = find_field(call, "ms")) {
+    const auto work = parse_real(*ms);
+    if (!work || *work < 0 || *work > kMaxWorkMs) return bad("bad field ms");
     if (*work > 0) out.work = Duration(static_cast<Duration::rep>(*work * 1e6));
   }
-  if (const auto* mb = field(call, "mb")) {
-    const auto memory = real(*mb);
-    if (!memory || *memory < 0 || *memory > kMostMemoryMb) return bad("bad field mb");
+  if (const auto* mb = find_field(call, "mb")) {
+    const auto memory = parse_real(*mb);
+    if (!memory || *memory < 0 || *memory > kMaxMemoryMb) return bad("bad field mb");
     out.memory_mb = *memory;
   }
   if (!is_statement(call.body)) return bad("the statement is no text");
-  const auto* resent = field(call, "resent");
+  const auto* resent = find_field(call, "resent");
   out.is_retry = resent && (*resent == "1" || *resent == "true");
   out.table_group = policy::TableGroupId{statement::table_group(call.body).value_or(0)};
   out.statement = std::move(call.body);
--- a/src/net/client_call.h
+++ b/src/net/client_call.h
@@ -1,5 +1,5 @@
-// A client's message as the core is to hear it: fields checked, names looked up, the deadline absolute.
-// Pure: no I/O, no clock. A field that makes no sense makes the event a BadRequest with its reason.
+// Decodes a client's message into an event of the core: fields validated, names looked up, the deadline
+// absolute. Pure: no I/O, no clock. An invalid field makes the event a BadRequest with its cause.
 #pragma once
 
 #include "config/settings.h"
--- a/src/net/engine_connection.cpp
+++ b/src/net/engine_connection.cpp
@@ -6,24 +6,25 @@
 namespace {
 
 constexpr std::size_t kReadBytes = 8 * 1024;
-constexpr int kReadsAtOnce = 8;  // of one engine, then the others have their turn
-constexpr std::size_t kOutboxBytes = 1024 * 1024;
-// An answer leaves an engine in one piece; one that stops short never comes whole.
-constexpr Duration kAnswerWithin = std::chrono::milliseconds(700);
+constexpr int kMaxReadsPerCall = 8;  // then other engines are read
+constexpr std::size_t kMaxQueuedBytes = 1024 * 1024;
+constexpr std::size_t kRequestOverheadBytes = 256;  // of the fields around a statement
+// An engine sends a response in one piece; one that stops short is never completed.
+constexpr Duration kResponseTimeout = std::chrono::milliseconds(700);
 
 }  // namespace
 
 EngineConnection::EngineConnection(dispatch::EngineConnectionId id, const config::Endpoint& endpoint,
-                                   Time deadline, const std::vector<std::string>& report_fields, Inbox& inbox,
-                                   Poller& writer, figures::Figures& figures)
+                                   Time connect_deadline, const std::vector<std::string>& report_fields,
+                                   Inbox& inbox, Poller& slow_writer_poller, figures::Figures& figures)
     : id_(id),
-      connect_deadline_(deadline),
+      connect_deadline_(connect_deadline),
       inbox_(inbox),
-      slow_writer_poller_(writer),
+      slow_writer_poller_(slow_writer_poller),
       connect_status_(socket_.start_connect(endpoint, &failure_)),
       reader_(report_fields),
       sender_(
-          kOutboxBytes, socket_, &EngineConnection::serialize,
+          kMaxQueuedBytes, socket_, &EngineConnection::serialize,
           [this] { slow_writer_poller_.add(std::shared_ptr<Pollable>(shared_from_this(), &sender_)); },
           [&figures](const Item& item) {
             if (std::holds_alternative<EngineRequest>(item.payload)) figures.attempt();
@@ -46,11 +47,11 @@
 }
 
 void EngineConnection::enqueue(Item item, std::size_t bytes) {
-  if (!sender_.add(std::move(item), bytes)) abort();  // broken, or an engine that does not read
+  if (!sender_.add(std::move(item), bytes)) abort();  // broken, or the engine does not read
 }
 
 void EngineConnection::send(dispatch::AttemptTag tag, EngineRequest request) {
-  const std::size_t bytes = request.statement.size() + 256;
+  const std::size_t bytes = request.statement.size() + kRequestOverheadBytes;
   enqueue(Item{tag, std::move(request)}, bytes);
 }
 
@@ -65,11 +66,12 @@
   enqueue(Item{0, std::move(bytes)}, size);
 }
 
-// Up: what waits leaves. The core hears of it first, and so of its answers later.
-bool EngineConnection::complete_connect(bool asked) {
+// The core is notified before anything is sent, so that it learns of the connection before its responses.
+bool EngineConnection::complete_connect(bool is_ready) {
   if (connect_status_ == Socket::ConnectStatus::failed) return false;
-  if (connect_status_ == Socket::ConnectStatus::pending && (!asked || !socket_.finish_connect(&failure_))) {
-    if (!asked) failure_ = {"not up in time", false};
+  if (connect_status_ == Socket::ConnectStatus::pending &&
+      (!is_ready || !socket_.finish_connect(&failure_))) {
+    if (!is_ready) failure_ = {"connect timed out", false};
     return false;
   }
   connected_ = true;
@@ -78,7 +80,8 @@
   return true;
 }
 
-// Guards against an answer that never comes whole: the connection is of no further use then.
+// Failure: a response stops short. Symptom: its request and all behind it wait for ever. Guard: a response
+// that has begun must be complete by a deadline, else the connection is closed.
 void EngineConnection::handle_bytes(std::string_view bytes) {
   reader_.feed(bytes);
   while (auto answer = reader_.next()) {
@@ -88,24 +91,24 @@
   if (reader_.pending() == 0)
     response_deadline_ = Time::max();
   else if (response_deadline_ == Time::max())
-    response_deadline_ = now() + kAnswerWithin;
+    response_deadline_ = now() + kResponseTimeout;
 }
 
-Pollable::PollResult EngineConnection::on_ready(Time now, bool asked) try {
+Pollable::PollResult EngineConnection::on_ready(Time now, bool is_ready) try {
   if (!connected_) {
-    if (connect_status_ == Socket::ConnectStatus::pending && !asked && now < connect_deadline_)
+    if (connect_status_ == Socket::ConnectStatus::pending && !is_ready && now < connect_deadline_)
       return PollResult::wait_writable;
-    if (!complete_connect(asked)) return PollResult::closed;
+    if (!complete_connect(is_ready)) return PollResult::closed;
   }
   std::array<char, kReadBytes> bytes;
-  for (int reads = 0; reads < kReadsAtOnce; ++reads) {
+  for (int reads = 0; reads < kMaxReadsPerCall; ++reads) {
     const auto size = socket_.try_read(bytes.data(), bytes.size());
     if (size == 0) return PollResult::closed;
     if (!size) break;
     handle_bytes({bytes.data(), *size});
   }
   if (now < response_deadline_) return PollResult::wait_readable;
-  failure_.why = "an answer stopped short";
+  failure_.why = "incomplete response timed out";
   return PollResult::closed;
 } catch (const std::exception& problem) {
   failure_.why = problem.what();
--- a/src/net/engine_connection.h
+++ b/src/net/engine_connection.h
@@ -1,6 +1,8 @@
-// One connection to an engine. The dock's thread sees it come up and then decodes answers (poller.h);
-// requests are written by who sends them, and by the writer's thread while the engine is slow to read
-// (sender.h). RESP.
+// One connection to an engine (RESP).
+//
+// The engine poller's thread completes the connect and then decodes responses (poller.h). Requests are
+// written by the thread that sends them, and by the poller for slow writers while the engine is slow to read
+// (sender.h). Owned by the server; the pollers share ownership while it is registered with them.
 #pragma once
 
 #include <memory>
@@ -18,31 +20,34 @@
 
 class EngineConnection : public Pollable, public std::enable_shared_from_this<EngineConnection> {
  public:
-  // Begins to connect. It never throws and never tells at once: how it went is told by the dock's looks.
-  EngineConnection(dispatch::EngineConnectionId id, const config::Endpoint& endpoint, Time deadline,
-                   const std::vector<std::string>& report_fields, Inbox& inbox, Poller& writer,
+  // Starts to connect, until `connect_deadline`. Never throws and never reports at once: the engine poller's
+  // calls report the outcome as an event.
+  EngineConnection(dispatch::EngineConnectionId id, const config::Endpoint& endpoint, Time connect_deadline,
+                   const std::vector<std::string>& report_fields, Inbox& inbox, Poller& slow_writer_poller,
                    figures::Figures& figures);
-  ~EngineConnection() override;  // breaks off and joins
+  ~EngineConnection() override;  // aborts the connection
 
+  // For the core thread.
   void send(dispatch::AttemptTag tag, EngineRequest request);
+  // True: nothing of the request has been written, and nothing will be.
   bool withdraw(dispatch::AttemptTag tag);
   void send_command(std::string bytes);
-  void abort();
+  void abort();  // any thread; nothing more is read or written
 
-  // For the dock's thread.
+  // For the engine poller's thread.
   int descriptor() const override { return socket_.descriptor(); }
-  PollResult on_ready(Time now, bool asked) override;
+  PollResult on_ready(Time now, bool is_ready) override;
   Time next_due() const override { return connected_ ? response_deadline_ : connect_deadline_; }
   void on_closed() override;
 
  private:
   struct Item {
     dispatch::AttemptTag tag = 0;
-    std::variant<EngineRequest, std::string> payload;  // a request is worded when it leaves
+    std::variant<EngineRequest, std::string> payload;  // a request is serialized when it is written
   };
   static std::string serialize(const Item& item);
   void enqueue(Item item, std::size_t bytes);
-  bool complete_connect(bool asked);
+  bool complete_connect(bool is_ready);
   void handle_bytes(std::string_view bytes);
 
   const dispatch::EngineConnectionId id_;
@@ -50,13 +55,13 @@
   Inbox& inbox_;
   Poller& slow_writer_poller_;
   Socket socket_;
-  // The dock's thread only, once it is constructed. In this order: a connection that fails at its begin says
-  // why.
+  // Engine poller thread only, once constructed. In this order: a connect that fails at once records its
+  // failure.
   ConnectFailure failure_{"closed or reset by the engine", false};
   Socket::ConnectStatus connect_status_;
   protocol::RespReader reader_;
   bool connected_ = false;
-  Time response_deadline_ = Time::max();  // an answer that has begun is whole by then
+  Time response_deadline_ = Time::max();  // by then a response that has begun must be complete
   Sender<Item> sender_;
 };
 
--- a/src/net/events.h
+++ b/src/net/events.h
@@ -8,7 +8,7 @@
 #include "coordination/fleet.h"
 #include "dispatch/ports.h"
 #include "door/settings.h"
-#include "net/queue.h"
+#include "net/event_queue.h"
 #include "net/socket.h"
 #include "queues/settings.h"
 #include "routing/routes.h"
--- a/src/net/hand_over.h
+++ b/src/net/hand_over.h
@@ -11,7 +11,8 @@
 #include <string>
 
 #include "dispatch/ports.h"
-#include "net/queue.h"
+#include "net/bounded_work_queue.h"
+#include "net/clock.h"
 #include "net/thread.h"
 #include "snapshot/learned_state_codec.h"
 
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -6,6 +6,7 @@
 #include <variant>
 
 #include "config/config.h"
+#include "net/bounded_work_queue.h"
 #include "net/client_session.h"
 #include "net/events.h"
 #include "net/thread.h"
--- a/src/net/poller.cpp
+++ b/src/net/poller.cpp
@@ -12,20 +12,21 @@
 namespace yokestream::net {
 namespace {
 
-constexpr std::size_t kAtOnce = 64;  // connections that one wait names
-constexpr std::uint64_t kWake = ~std::uint64_t{0};
-constexpr Duration kLookAgain = std::chrono::milliseconds(10);  // at what the system can't watch
+constexpr std::size_t kMaxEventsPerWait = 64;
+constexpr std::uint64_t kWakeToken = ~std::uint64_t{0};
+constexpr Duration kUnwatchedRetry =
+    std::chrono::milliseconds(10);  // of a connection that epoll could not add
 
 }  // namespace
 
-Poller::Poller(const char* name)
-    : epoll_(::epoll_create1(EPOLL_CLOEXEC)), wake_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
+Poller::Poller(const char* thread_name)
+    : epoll_(::epoll_create1(EPOLL_CLOEXEC)), wake_event_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
   epoll_event event{};
   event.events = EPOLLIN;
-  event.data.u64 = kWake;
-  if (!epoll_ || !wake_ || ::epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, wake_.get(), &event) != 0)
+  event.data.u64 = kWakeToken;
+  if (!epoll_ || !wake_event_ || ::epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, wake_event_.get(), &event) != 0)
     throw std::system_error(errno, std::generic_category(), "cannot wait for connections");
-  thread_ = Thread(name, kSmallStack, [this] { run(); });
+  thread_ = Thread(thread_name, kSmallStack, [this] { run(); });
 }
 
 Poller::~Poller() {
@@ -37,7 +38,7 @@
   thread_.join();
 }
 
-void Poller::wake() { raise_event(wake_); }
+void Poller::wake() { raise_event(wake_event_); }
 
 void Poller::add(std::weak_ptr<Pollable> connection) {
   {
@@ -47,63 +48,66 @@
   wake();
 }
 
-// One shot: a connection is named once and then again only after it has been looked at. Guards against a
-// system that has no room to watch one more: nobody would read it, and what it asks would find no answer. It
-// is looked at all the time instead, until there is room.
-void Poller::arm(std::uint64_t number, Registration& guest, Pollable::PollResult look) {
+// One shot: a connection is reported once and then again only after it has been called.
+//
+// Failure: the system has no capacity to watch one more descriptor. Symptom: nobody reads the connection, and
+// its requests find no answer. Guard: it is called periodically until it can be watched.
+void Poller::arm(std::uint64_t token, Registration& registration, Pollable::PollResult result) {
   epoll_event event{};
-  event.events = EPOLLONESHOT | (look == Pollable::PollResult::wait_writable ? EPOLLOUT : EPOLLRDHUP);
-  if (look == Pollable::PollResult::wait_readable) event.events |= EPOLLIN;
-  event.data.u64 = number;
-  const int operation = guest.armed ? EPOLL_CTL_MOD : EPOLL_CTL_ADD;
-  guest.armed = ::epoll_ctl(epoll_.get(), operation, guest.connection->descriptor(), &event) == 0;
+  event.events = EPOLLONESHOT | (result == Pollable::PollResult::wait_writable ? EPOLLOUT : EPOLLRDHUP);
+  if (result == Pollable::PollResult::wait_readable) event.events |= EPOLLIN;
+  event.data.u64 = token;
+  const int operation = registration.armed ? EPOLL_CTL_MOD : EPOLL_CTL_ADD;
+  registration.armed =
+      ::epoll_ctl(epoll_.get(), operation, registration.connection->descriptor(), &event) == 0;
 }
 
 void Poller::register_pending() {
   std::uint64_t count = 0;
-  [[maybe_unused]] const auto read = ::read(wake_.get(), &count, sizeof count);
-  std::vector<std::weak_ptr<Pollable>> coming;
+  [[maybe_unused]] const auto read = ::read(wake_event_.get(), &count, sizeof count);
+  std::vector<std::weak_ptr<Pollable>> added;
   {
     const std::lock_guard lock(mutex_);
-    coming.swap(pending_);
+    added.swap(pending_);
   }
-  for (const auto& weak : coming) {
+  for (const auto& weak : added) {
     auto connection = weak.lock();
-    if (!connection) continue;  // gone meanwhile
+    if (!connection) continue;  // destroyed meanwhile
     registrations_[++last_token_].connection = std::move(connection);
     notify(last_token_, false);
   }
 }
 
-void Poller::unregister(std::uint64_t number) {
-  const auto it = registrations_.find(number);
-  due_times_.erase({it->second.due, number});
+void Poller::unregister(std::uint64_t token) {
+  const auto it = registrations_.find(token);
+  due_times_.erase({it->second.due, token});
   if (it->second.armed)
     ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, it->second.connection->descriptor(), nullptr);
   registrations_.erase(it);
 }
 
-void Poller::notify(std::uint64_t number, bool asked) {
-  const auto it = registrations_.find(number);
+void Poller::notify(std::uint64_t token, bool is_ready) {
+  const auto it = registrations_.find(token);
   if (it == registrations_.end()) return;
-  Registration& guest = it->second;
-  const auto connection = guest.connection;
-  due_times_.erase({guest.due, number});
-  guest.due = Time::max();
-  const auto look = connection->on_ready(now(), asked);
-  if (look == Pollable::PollResult::closed || look == Pollable::PollResult::handed_over) {
-    unregister(number);
-    return look == Pollable::PollResult::closed ? connection->on_closed() : void();
+  Registration& registration = it->second;
+  const auto connection = registration.connection;
+  due_times_.erase({registration.due, token});
+  registration.due = Time::max();
+  const auto result = connection->on_ready(now(), is_ready);
+  if (result == Pollable::PollResult::closed || result == Pollable::PollResult::handed_over) {
+    unregister(token);
+    if (result == Pollable::PollResult::closed) connection->on_closed();
+    return;
   }
-  if (look != Pollable::PollResult::wait_until_due) arm(number, guest, look);
-  guest.due = connection->next_due();
-  if (look != Pollable::PollResult::wait_until_due && !guest.armed)
-    guest.due = std::min(guest.due, now() + kLookAgain);
-  if (guest.due != Time::max()) due_times_.emplace(guest.due, number);
+  if (result != Pollable::PollResult::wait_until_due) arm(token, registration, result);
+  registration.due = connection->next_due();
+  if (result != Pollable::PollResult::wait_until_due && !registration.armed)
+    registration.due = std::min(registration.due, now() + kUnwatchedRetry);
+  if (registration.due != Time::max()) due_times_.emplace(registration.due, token);
 }
 
 void Poller::run() {
-  std::array<epoll_event, kAtOnce> events;
+  std::array<epoll_event, kMaxEventsPerWait> events;
   while (true) {
     const Time next = due_times_.empty() ? Time::max() : due_times_.begin()->first;
     const int count =
@@ -113,8 +117,11 @@
       if (stopping_) return;
     }
     for (int i = 0; i < count; ++i) {
-      const std::uint64_t number = events[static_cast<std::size_t>(i)].data.u64;
-      number == kWake ? register_pending() : notify(number, true);
+      const std::uint64_t token = events[static_cast<std::size_t>(i)].data.u64;
+      if (token == kWakeToken)
+        register_pending();
+      else
+        notify(token, true);
     }
     const Time time = now();
     while (!due_times_.empty() && due_times_.begin()->first <= time)
--- a/src/net/poller.h
+++ b/src/net/poller.h
@@ -1,14 +1,15 @@
-// Reads many connections on one thread.
+// Serves many connections on one thread (epoll).
 //
-// It waits on all of them together, so that a crowd of connections costs descriptors and bytes, but no
-// threads, and their reading gets one thread's part of the processor, however many there are. Three stand in
-// the program: the lobby of clients that do not deserve a reader of their own, the dock of all connections to
-// engines, and the one that writes to peers that are slow to read (sender.h). Guards the core, and the
-// machine: see docs/design/door.md for what a thread costs on a platform that stops the process, and
-// docs/design/fleet.md for a machine that holds hundreds of managers and runs out of threads.
+// A crowd of connections costs descriptors and bytes, but no threads, and gets one thread's part of the
+// processor, however many there are. The server has three pollers: for clients without a reader of their own,
+// for all connections to engines, and for writing to peers that are slow to read (sender.h).
 //
-// A connection that it looks at must not make it wait. It holds those that it waits on; memory: one entry a
-// connection, which the places for clients and the bound on links bound.
+// Failure: a thread for each connection. Symptom: a platform that stops the process pays for each thread
+// (docs/design/door.md), and a machine with hundreds of managers runs out of threads (docs/design/fleet.md).
+// Guard: one thread for all.
+//
+// A connection must not make the poller wait. The poller shares ownership of the connections registered with
+// it. Memory: one entry a connection, bounded by the client slots and by the bound on engine connections.
 #pragma once
 
 #include <map>
@@ -26,44 +27,46 @@
 // A connection as the poller sees it. All calls come from the poller's thread.
 class Pollable {
  public:
-  // When there is more to read or, while it is being set up, to write; at `due()`; never, as it has ended;
-  // never here, as something else reads it from now on.
+  // When to call it next. wait_readable: when there is more to read, or at next_due(). wait_writable: when it
+  // can be written, or at next_due(). wait_until_due: at next_due() only. closed: never, and on_closed()
+  // follows. handed_over: never, something else serves it from now on.
   enum class PollResult { wait_readable, wait_writable, wait_until_due, closed, handed_over };
   virtual ~Pollable() = default;
   virtual int descriptor() const = 0;
-  // Handles what has come, without waiting. `asked`: something has come, or it can be written now; else it is
-  // new here, or due.
-  virtual PollResult on_ready(Time now, bool asked) = 0;
-  virtual Time next_due() const = 0;  // when to look again though nothing has come; Time::max(): never
-  virtual void on_closed() = 0;       // it has ended: its last look said so
+  // Handles what has come, without waiting. `is_ready`: something has come, or it can be written now; else it
+  // has just been added, or is due.
+  virtual PollResult on_ready(Time now, bool is_ready) = 0;
+  virtual Time next_due() const = 0;  // when to call it though nothing has come; Time::max(): never
+  virtual void on_closed() = 0;       // its last on_ready() returned closed
 };
 
 class Poller {
  public:
-  explicit Poller(
-      const char* name);  // throws std::system_error; `name`: of its thread, 15 characters at most
-  ~Poller();              // reads no more; joins
-  // From any thread: reads this connection from now on.
+  // Starts the thread. `thread_name`: 15 characters at most. Throws std::system_error.
+  explicit Poller(const char* thread_name);
+  ~Poller();  // stops and joins the thread
+  // Any thread may call: serves this connection from now on, if it still exists.
   void add(std::weak_ptr<Pollable> connection);
 
  private:
   struct Registration {
     std::shared_ptr<Pollable> connection;
     Time due = Time::max();
-    bool armed = false;  // the system names it when something comes
+    bool armed = false;  // epoll reports it when something comes
   };
   void run();
   void register_pending();
-  void notify(std::uint64_t number, bool asked);
-  void arm(std::uint64_t number, Registration& guest, Pollable::PollResult look);
-  void unregister(std::uint64_t number);
+  void notify(std::uint64_t token, bool is_ready);
+  void arm(std::uint64_t token, Registration& registration, Pollable::PollResult result);
+  void unregister(std::uint64_t token);
   void wake();
 
-  Fd epoll_, wake_;
+  Fd epoll_;
+  Fd wake_event_;
   std::mutex mutex_;
-  std::vector<std::weak_ptr<Pollable>> pending_;  // guarded
-  bool stopping_ = false;                         // guarded
-  // The poller's thread only. Numbers are given once, so that what is named late is taken for no other.
+  std::vector<std::weak_ptr<Pollable>> pending_;  // guarded by mutex_
+  bool stopping_ = false;                         // guarded by mutex_
+  // Poller thread only. A token is never given twice, so that a late report is not mistaken for another's.
   std::uint64_t last_token_ = 0;
   std::map<std::uint64_t, Registration> registrations_;
   std::set<std::pair<Time, std::uint64_t>> due_times_;
--- a/src/net/rate_limiter.h
+++ b/src/net/rate_limiter.h
@@ -1,4 +1,5 @@
-// How fast one client's messages are taken in. Knows no clock.
+// Limits the rate at which one client's messages are accepted. Reads no clock; owned by whoever reads the
+// client.
 #pragma once
 
 #include <algorithm>
@@ -7,22 +8,26 @@
 
 namespace yokestream::net {
 
-// Guards the core against a client that asks as fast as it is refused: beyond a burst its messages are read
-// at a steady pace. A client that is served is never slowed.
+// Failure: a client repeats its request as fast as it is rejected. Symptom: the core is busy with rejections.
+// Guard: beyond a burst its messages are accepted at a steady rate. A client that has had a result is never
+// limited (client_session.h).
 class RateLimiter {
  public:
   using Time = policy::Time;
   using Duration = policy::Duration;
-  RateLimiter(int burst, Duration between) : burst_allowance_(burst * between), interval_(between) {}
+  RateLimiter(int burst_messages, Duration interval)
+      : burst_allowance_(burst_messages * interval), interval_(interval) {}
 
-  // When the next message may be taken in; `now` where that is at once.
+  // When the next message may be accepted; `now` where that is at once.
   Time next_permitted(Time now) const {
     return std::max(now, std::max(charged_until_, now) + interval_ - burst_allowance_);
   }
+  // A message has been accepted.
   void record(Time now) { charged_until_ = std::max(charged_until_, now) + interval_; }
 
  private:
-  const Duration burst_allowance_, interval_;
+  const Duration burst_allowance_;
+  const Duration interval_;
   Time charged_until_{};
 };
 
--- a/src/net/sender.h
+++ b/src/net/sender.h
@@ -1,14 +1,14 @@
-// What is to be written on one connection.
+// Writes the items queued for one connection, in order, without ever making the caller wait.
 //
-// Owns the order of what leaves. An item that the socket takes at once is written by who adds it, without
-// waiting; what a slow peer's socket does not take waits here, and the thread that writes for all slow peers
-// (a Poller, given by the owner) writes it on as room comes. So no connection needs a thread to be written,
-// and none is lost where no thread can be had. Never makes who adds wait. Guards the processor time: a
-// platform that holds a process to a part of a core by stopping it pays for each of its threads at each stop
-// (docs/design/door.md).
+// An item that the socket accepts at once is written by the thread that adds it; what the socket does not
+// accept waits here, and the poller for slow writers (given by the owner through `BlockedCallback`) writes it
+// as space comes. So no connection needs a thread of its own for writing.
 //
-// Any thread may call; the bound counts bytes that wait, the items being those of `Item`. `Word` turns an
-// item into bytes as it leaves, and `Slow` is to have the poller look at this sender from now on; both are
+// Failure: a platform that limits a process to a part of a core by stopping it pays for each of its threads
+// at each stop (docs/design/door.md). Symptom: processor time is lost with the number of connections.
+// Guard: one thread writes for all slow peers.
+//
+// Any thread may call; mutex_ guards the state. The bound counts the bytes of queued items. The callbacks are
 // called under the lock and must not call back.
 #pragma once
 
@@ -28,145 +28,173 @@
 template <class Item>
 class Sender : public Pollable {
  public:
-  using Word = std::function<std::string(const Item&)>;
-  using Slow = std::function<void()>;
-  using Whole =
-      std::function<void(const Item&)>;  // called, under the lock, once the socket has all of an item
-  // Until when an item may leave, looked at right before its first byte (S4). One that is too late is left
-  // for withdraw() to find. Between this look and the write lies nothing but the system's call: a process
-  // that is stopped just there writes late when it goes on (docs/design/duty.md).
-  using Until = std::function<Time(const Item&)>;
-  Sender(std::size_t bound_bytes, Socket& socket, Word word, Slow slow, Whole whole = {}, Until until = {})
-      : bound_(bound_bytes),
+  // Turns an item into bytes, right before its first byte is written.
+  using Serialize = std::function<std::string(const Item&)>;
+  // Has the poller for slow writers call this sender from now on.
+  using BlockedCallback = std::function<void()>;
+  // Called once the socket has all bytes of an item.
+  using WrittenCallback = std::function<void(const Item&)>;
+  // Until when an item may be written, checked right before its first byte (S4). An expired one is kept for
+  // withdraw() to find. Between this check and the write lies nothing but the system call: a process that is
+  // stopped just there writes late when it goes on (docs/design/duty.md).
+  using ExpiryOf = std::function<Time(const Item&)>;
+  Sender(std::size_t bound_bytes, Socket& socket, Serialize serialize, BlockedCallback on_blocked,
+         WrittenCallback on_written = {}, ExpiryOf expiry_of = {})
+      : bound_bytes_(bound_bytes),
         socket_(socket),
-        word_(std::move(word)),
-        slow_(std::move(slow)),
-        whole_(std::move(whole)),
-        until_(std::move(until)) {}
+        serialize_(std::move(serialize)),
+        on_blocked_(std::move(on_blocked)),
+        on_written_(std::move(on_written)),
+        expiry_of_(std::move(expiry_of)) {}
 
-  // The connection is up: what waits leaves, and what comes from now on leaves at once.
+  // The connection is up: queued items are written, and later ones at once.
   void open() {
     const std::lock_guard lock(mutex_);
     open_ = true;
-    write_or_watch();
+    write_or_register();
   }
-  // False: over the bound, closed or broken; the connection is of no further use.
+  // `bytes`: what the item counts against the bound. False: over the bound, closed or broken; the connection
+  // is of no further use.
   bool add(Item item, std::size_t bytes) {
     const std::lock_guard lock(mutex_);
-    if (!closed_ && bytes_ + bytes > bound_) return false;
-    items_.emplace_back(std::move(item), bytes);  // closed: nothing of it leaves, for withdraw() to find
-    bytes_ += bytes;
-    return !closed_ && (!open_ || watched_ || write_or_watch());
+    if (!closed_ && queued_bytes_ + bytes > bound_bytes_) return false;
+    items_.emplace_back(std::move(item), bytes);  // closed: it is never written, and withdraw() finds it
+    queued_bytes_ += bytes;
+    return !closed_ && (!open_ || registered_ || write_or_register());
   }
-  // Takes back an item of which nothing has been written.
+  // Removes an item of which nothing has been written. False: there is no such item.
   template <class Match>
   bool withdraw(Match match) {
     const std::lock_guard lock(mutex_);
-    for (auto* list : {&items_, &late_}) {
+    for (auto* list : {&items_, &expired_}) {
       const auto it =
           std::find_if(list->begin(), list->end(), [&](const auto& entry) { return match(entry.first); });
       if (it == list->end()) continue;
-      bytes_ -= it->second;
+      queued_bytes_ -= it->second;
       list->erase(it);
       return true;
     }
     return false;
   }
-  bool is_idle() {  // all that was added has left
+  // Has everything that was added been written?
+  bool is_idle() {
     const std::lock_guard lock(mutex_);
-    return left();
+    return is_empty();
   }
-  void close_after_writes() {  // the connection ends once all is written
+  // The write side is shut down once everything is written.
+  void close_after_writes() {
     const std::lock_guard lock(mutex_);
-    finishing_ = true;
-    if (left()) socket_.shutdown_write();
+    closing_after_writes_ = true;
+    if (is_empty()) socket_.shutdown_write();
   }
-  bool is_closing() {  // finish() was called
+  // Was close_after_writes() called?
+  bool is_closing() {
     const std::lock_guard lock(mutex_);
-    return finishing_;
+    return closing_after_writes_;
   }
-  bool is_drained() {  // and all has left
+  // Was it called, and has everything been written?
+  bool is_drained() {
     const std::lock_guard lock(mutex_);
-    return finishing_ && left();
+    return closing_after_writes_ && is_empty();
   }
-  void close() {  // nothing more leaves
+  // Nothing more is written.
+  void close() {
     const std::lock_guard lock(mutex_);
     closed_ = true;
   }
 
-  // For the thread that writes for slow peers.
+  // For the thread of the poller for slow writers.
   int descriptor() const override { return socket_.descriptor(); }
   PollResult on_ready(Time, bool) override {
     const std::lock_guard lock(mutex_);
-    due_ = Time::max();
-    if (!closed_ && write_on() == Went::in_part) return wrote_ ? PollResult::wait_writable : look_later();
-    watched_ = false;
-    return PollResult::handed_over;  // by who adds
+    next_due_ = Time::max();
+    if (!closed_ && write_queued() == WriteResult::partial)
+      return made_progress_ ? PollResult::wait_writable : retry_later();
+    registered_ = false;
+    return PollResult::handed_over;  // the next add() writes again
   }
-  Time next_due() const override { return due_; }
+  Time next_due() const override { return next_due_; }
   void on_closed() override {}
 
  private:
-  enum class Went { all, in_part, broken };
-  static constexpr Duration kNoBuffer = std::chrono::milliseconds(10);
+  enum class WriteResult { complete, partial, broken };
+  static constexpr Duration kNoBufferRetry = std::chrono::milliseconds(10);
 
-  // Guards the processor where the system has no buffer: the socket could be written, and takes nothing.
-  PollResult look_later() {
-    due_ = now() + kNoBuffer;
+  // Failure: the system has no buffer, so the socket is reported writable and accepts nothing. Symptom: the
+  // poller's thread spins. Guard: the next attempt waits.
+  PollResult retry_later() {
+    next_due_ = now() + kNoBufferRetry;
     return PollResult::wait_until_due;
   }
-  // All under the lock.
-  bool left() const { return items_.empty() && begun_.empty(); }
-  bool write_or_watch() {  // false: broken
-    const Went went = write_on();
-    if (went == Went::in_part) watched_ = true, slow_();
-    return went != Went::broken;
+  // The caller of each of these holds mutex_.
+  bool is_empty() const { return items_.empty() && partial_write_.empty(); }
+  bool write_or_register() {  // false: broken
+    const WriteResult result = write_queued();
+    if (result == WriteResult::partial) {
+      registered_ = true;
+      on_blocked_();
+    }
+    return result != WriteResult::broken;
   }
-  // Writes what the socket takes without waiting. Guards what must not run twice: an item stays where
-  // withdraw() finds it until some of it has left, so what stays there when the connection breaks may be sent
-  // elsewhere.
-  Went write_on() {
-    wrote_ = false;
-    while (!left()) {
-      const bool fresh = begun_.empty();
-      if (fresh && until_ && now() >= until_(items_.front().first)) {
-        late_.push_back(std::move(items_.front()));
-        items_.pop_front();
-        continue;
-      }
-      std::string bytes = fresh ? word_(items_.front().first) : std::exchange(begun_, {});
+  // Moves the first item away if its time is over. False: it may still be written.
+  bool skip_expired() {
+    if (!expiry_of_ || now() < expiry_of_(items_.front().first)) return false;
+    expired_.push_back(std::move(items_.front()));
+    items_.pop_front();
+    return true;
+  }
+  // Some of the first item has left, so withdraw() must not find it any more.
+  void begin_item() {
+    partly_written_item_ = std::move(items_.front().first);
+    queued_bytes_ -= items_.front().second;
+    items_.pop_front();
+  }
+  // Writes what the socket accepts without waiting.
+  //
+  // Failure: a request whose connection breaks is sent elsewhere although the engine has part of it. Symptom:
+  // it runs twice. Guard: an item stays where withdraw() finds it exactly until some of it has been written.
+  WriteResult write_queued() {
+    made_progress_ = false;
+    while (!is_empty()) {
+      const bool starts_item = partial_write_.empty();
+      if (starts_item && skip_expired()) continue;
+      std::string bytes = starts_item ? serialize_(items_.front().first) : std::exchange(partial_write_, {});
       const auto written = socket_.try_write(bytes);
-      if (!written) return socket_.abort(), Went::broken;
-      wrote_ = wrote_ || *written > 0;
-      if (fresh && *written == 0) return Went::in_part;
-      if (fresh) {
-        writing_ = std::move(items_.front().first);
-        bytes_ -= items_.front().second;
-        items_.pop_front();
+      if (!written) {
+        socket_.abort();
+        return WriteResult::broken;
       }
-      begun_ = bytes.erase(0, *written);
-      if (!begun_.empty()) return Went::in_part;
-      if (whole_) whole_(*writing_);
-      writing_.reset();
+      made_progress_ = made_progress_ || *written > 0;
+      if (starts_item && *written == 0) return WriteResult::partial;
+      if (starts_item) begin_item();
+      partial_write_ = bytes.erase(0, *written);
+      if (!partial_write_.empty()) return WriteResult::partial;
+      if (on_written_) on_written_(*partly_written_item_);
+      partly_written_item_.reset();
     }
-    if (finishing_) socket_.shutdown_write();
-    return Went::all;
+    if (closing_after_writes_) socket_.shutdown_write();
+    return WriteResult::complete;
   }
 
-  const std::size_t bound_;
+  const std::size_t bound_bytes_;
   Socket& socket_;
-  const Word word_;
-  const Slow slow_;
-  const Whole whole_;
-  const Until until_;
+  const Serialize serialize_;
+  const BlockedCallback on_blocked_;
+  const WrittenCallback on_written_;
+  const ExpiryOf expiry_of_;
+  Time next_due_ = Time::max();  // poller thread only
   std::mutex mutex_;
-  std::deque<std::pair<Item, std::size_t>> items_, late_;  // late_: that will not leave any more
-  std::optional<Item> writing_;  // left in part: what it holds is given back once it has left
-  std::string begun_;            // the rest of it
-  std::size_t bytes_ = 0;
-  Time due_ = Time::max();  // the poller's thread only
-  bool wrote_ = false;      // the last time that something could leave, some of it did
-  bool open_ = false, watched_ = false, finishing_ = false, closed_ = false;
+  // All below guarded by mutex_.
+  std::deque<std::pair<Item, std::size_t>> items_;    // with their bytes
+  std::deque<std::pair<Item, std::size_t>> expired_;  // never to be written
+  std::optional<Item> partly_written_item_;           // kept: its reservations end once it has left
+  std::string partial_write_;                         // the unwritten rest of it
+  std::size_t queued_bytes_ = 0;
+  bool made_progress_ = false;  // did the last write_queued() write any byte?
+  bool open_ = false;
+  bool registered_ = false;  // the poller writes for it
+  bool closing_after_writes_ = false;
+  bool closed_ = false;
 };
 
 }  // namespace yokestream::net
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -26,15 +26,15 @@
   return address;
 }
 
-// The kernel counts from the call, so what is left until the deadline is set right before it.
-void bound_by(int fd, int option, Time deadline) {
+// The kernel counts from the call, so the time left until the deadline is set right before it.
+void set_timeout(int fd, int option, Time deadline) {
   const auto left = std::max<std::int64_t>(
       1000, std::chrono::duration_cast<std::chrono::microseconds>(deadline - now()).count());
   const timeval value{static_cast<time_t>(left / 1000000), static_cast<suseconds_t>(left % 1000000)};
   setsockopt(fd, SOL_SOCKET, option, &value, sizeof value);
 }
 
-// What Linux documents for a lack on this side; all else is the peer's or the network's word.
+// The errors that Linux documents for a local shortage; all others come from the peer or the network.
 ConnectFailure failure_of(int error) {
   switch (error) {
     case EMFILE:
@@ -52,10 +52,15 @@
   }
 }
 
-// For now there is no room, or no memory: to be tried again, and no end of a connection.
-bool is_passing(int error) { return error == EAGAIN || error == ENOBUFS || error == ENOMEM; }
+// No buffer or no memory for now: to be retried, and no end of the connection.
+bool is_transient(int error) { return error == EAGAIN || error == ENOBUFS || error == ENOMEM; }
 
-void send_at_once(int fd) {
+bool fail(ConnectFailure* failure, ConnectFailure value) {
+  *failure = std::move(value);
+  return false;
+}
+
+void disable_nagle(int fd) {
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
@@ -79,18 +84,24 @@
   while (true) {
     const int ready = ::poll(&writable, 1, milliseconds_until(deadline));
     if (ready > 0) return finish_connect(failure);
-    if (ready < 0 && errno != EINTR) return *failure = {std::strerror(errno), true}, false;
-    if (now() >= deadline) return *failure = {"not up in time", false}, false;
+    if (ready < 0 && errno != EINTR) return fail(failure, {std::strerror(errno), true});
+    if (now() >= deadline) return fail(failure, {"connect timed out", false});
   }
 }
 
-// The descriptor is opened and the connection begun under the lock: break_off() comes before either, and
-// nothing is begun, or after both, and ends it.
+// The descriptor is opened and the connect started under the lock: abort() comes before both, and nothing is
+// started, or after both, and ends it.
 Socket::ConnectStatus Socket::start_connect(const config::Endpoint& endpoint, ConnectFailure* failure) {
   const std::lock_guard lock(mutex_);
-  if (aborted_) return *failure = {"broken off", false}, ConnectStatus::failed;
+  if (aborted_) {
+    *failure = {"aborted", false};
+    return ConnectStatus::failed;
+  }
   fd_ = Fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-  if (!fd_) return *failure = {std::strerror(errno), true}, ConnectStatus::failed;
+  if (!fd_) {
+    *failure = {std::strerror(errno), true};
+    return ConnectStatus::failed;
+  }
   const sockaddr_in address = address_of(endpoint);
   const int begun = ::connect(fd_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
   if (begun == 0) return finish_connect(failure) ? ConnectStatus::connected : ConnectStatus::failed;
@@ -107,17 +118,17 @@
   if (::getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) != 0) error = errno;
   if (error == 0 && ::fcntl(fd, F_SETFL, ::fcntl(fd, F_GETFL) & ~O_NONBLOCK) != 0) error = errno;
   if (error != 0) *failure = failure_of(error);
-  if (error == 0) send_at_once(fd);
+  if (error == 0) disable_nagle(fd);
   return error == 0;
 }
 
-// What ended and what is only silent is told apart by the kernel's word alone, never by the clock: a bounded
-// wait that ends before the deadline it was set for is no end of the connection.
+// Failure: a bounded wait ends before its deadline. Symptom: it is mistaken for the end of the connection.
+// Guard: closed and silent are told apart by the kernel's result alone, never by the clock.
 Socket::WaitResult Socket::wait_readable(Time deadline) {
   char first = 0;
   const auto got = receive(&first, 1, deadline, MSG_PEEK);
   if (got > 0) return WaitResult::readable;
-  return got < 0 && is_passing(errno) ? WaitResult::timed_out : WaitResult::closed;
+  return got < 0 && is_transient(errno) ? WaitResult::timed_out : WaitResult::closed;
 }
 
 std::size_t Socket::read_until(char* into, std::size_t size, Time deadline) {
@@ -130,7 +141,7 @@
     const ssize_t got = ::recv(fd_.get(), into, size, MSG_DONTWAIT);
     if (got > 0 && write_shut_down_) return std::nullopt;
     if (got >= 0) return static_cast<std::size_t>(got);
-    if (is_passing(errno)) return std::nullopt;
+    if (is_transient(errno)) return std::nullopt;
     if (errno != EINTR) return 0;
   }
   return 0;
@@ -142,7 +153,7 @@
     const ssize_t sent =
         ::send(fd_.get(), bytes.data() + done, bytes.size() - done, MSG_NOSIGNAL | MSG_DONTWAIT);
     if (sent < 0 && errno == EINTR) continue;
-    if (sent < 0 && is_passing(errno)) break;
+    if (sent < 0 && is_transient(errno)) break;
     if (sent < 0) return std::nullopt;
     done += static_cast<std::size_t>(sent);
   }
@@ -157,7 +168,10 @@
   ssize_t got = 0;
   do {
     // Set before each call: a process that is stopped and goes on finds its bounded reads interrupted.
-    if (deadline != Time::max()) bound_by(fd_.get(), SO_RCVTIMEO, deadline), read_timeout_set_ = true;
+    if (deadline != Time::max()) {
+      set_timeout(fd_.get(), SO_RCVTIMEO, deadline);
+      read_timeout_set_ = true;
+    }
     got = ::recv(fd_.get(), into, size, flags);
   } while (got < 0 && errno == EINTR);
   return got;
--- a/tests/node/net_client_test.cpp
+++ b/tests/node/net_client_test.cpp
@@ -10,7 +10,8 @@
 
 // Found on the bench: on a machine out of threads such a client's connection was closed upon its open
 // requests.
-TEST_CASE("a busy client for whom no reader is to be had is read on where it was, and loses nothing") {
+TEST_CASE(
+    "a busy client for whom no reader thread can start is read by the client poller and loses nothing") {
   Reading reading(0);
   Listening listening;
   Peer client(listening.at);
@@ -29,7 +30,7 @@
   }
 }
 
-TEST_CASE("a client of which something has come is not closed as idle, be it unread, half read or waiting") {
+TEST_CASE("a client with a message unread, half read or unhandled is not closed as idle") {
   Reading reading(1);
   Listening listening;
   Peer client(listening.at);
@@ -62,8 +63,8 @@
          net::Pollable::PollResult::closed));  // though the client lingers
 }
 
-// Its connection was closed upon what it had open.
-TEST_CASE("a client for whose next message there is no memory is read on when there is some") {
+// The connection was closed while its earlier requests were still open, so they found no answer.
+TEST_CASE("a client for whose next message there is no memory is read again once there is some") {
   Reading reading(1);
   Pair pair;
   const auto session = reading.session(Fd(::dup(pair.socket.descriptor())));
@@ -85,7 +86,7 @@
   CHECK(reading.inbox.drain_until(Time::max()).size() == 1);
 }
 
-TEST_CASE("what comes on a connection that is broken off is not read") {
+TEST_CASE("bytes that arrive on an aborted connection are not read") {
   Listening listening;
   Peer client(listening.at);
   Socket accepted(Fd(::accept(listening.fd.get(), nullptr, nullptr)));
@@ -98,7 +99,7 @@
 }
 
 // A writer thread of its own was started for it, and where none could be had the connection was closed.
-TEST_CASE("a client that is slow to read gets all its answers though no thread can be had") {
+TEST_CASE("a client that is slow to read gets all its responses though no thread can start") {
   spared = false;
   Reading reading(0);
   Pair pair;
--- a/tests/node/net_crossing_test.cpp
+++ b/tests/node/net_crossing_test.cpp
@@ -90,7 +90,7 @@
 }
 
 // The time that a client has left ran while nobody read it.
-TEST_CASE_FIXTURE(HeldClient, "what came while a client was not read counts from when it was read last") {
+TEST_CASE_FIXTURE(HeldClient, "bytes that came while a client was not read count from the last read") {
   dispatch::Reservation rest;
   REQUIRE(reading.budget.try_reserve(rest, (1 << 20) - 10));
   const std::string first = call(1, "0123456789abcde1", "select 1");
@@ -109,7 +109,8 @@
     CHECK((std::get<dispatch::RequestReceived>(std::get<dispatch::Event>(event)).deadline <= paused + 4s));
 }
 
-TEST_CASE_FIXTURE(HeldClient, "a client that is read no more and reads nothing either goes in the end") {
+TEST_CASE_FIXTURE(HeldClient,
+                  "a client whose reading has stopped and that reads nothing itself is closed in the end") {
   client->say("\x05");
   wait_for_bytes(descriptor);
   const Time stopped = net::now();
@@ -123,7 +124,7 @@
   CHECK((session->on_ready(stopped + 14s, false) == net::Pollable::PollResult::closed));
 }
 
-TEST_CASE_FIXTURE(HeldClient, "a session is not finished upon a message that the core has not taken") {
+TEST_CASE_FIXTURE(HeldClient, "a session is not half closed while the core has not handled its message") {
   client->say(call(1, "0123456789abcde1", "select 1"));
   wait_for_bytes(descriptor);
   CHECK((session->on_ready(net::now(), true) == net::Pollable::PollResult::wait_readable));
@@ -174,7 +175,7 @@
 TEST_CASE_FIXTURE(OneOut,
                   "a client whose next bytes are no message has its open request answered all the same") {
   client.say("\x05");
-  running.log.until("read no more");
+  running.log.until("client reading stopped");
   link.say("*4\r\n$16\r\n0123456789abcdef\r\n$6\r\nserved\r\n$7\r\ntotal=1\r\n$6\r\na\tb\tc\n\r\n");
   CHECK(client.until("a\tb\tc\n"));
   CHECK_FALSE(client.until("anything"));
--- a/tests/node/net_sender_test.cpp
+++ b/tests/node/net_sender_test.cpp
@@ -1,4 +1,4 @@
-// What leaves on one connection, and at what pace one is read.
+// The writes of one connection (Sender), and the rate limiter of its reads.
 #include <doctest/doctest.h>
 
 #include "net/rate_limiter.h"
@@ -7,24 +7,24 @@
 namespace yokestream::test {
 namespace {
 
-TEST_CASE("beyond a burst messages are taken in at a steady pace, for a client that is never served") {
-  net::RateLimiter pace(3, 10ms);
+TEST_CASE("beyond a burst messages are accepted at a steady rate") {
+  net::RateLimiter limiter(3, 10ms);
   const Time start{1000s};
   for (int i = 0; i < 3; ++i) {
-    CHECK((pace.next_permitted(start) == start));
-    pace.record(start);
+    CHECK((limiter.next_permitted(start) == start));
+    limiter.record(start);
   }
-  CHECK((pace.next_permitted(start) == start + 10ms));
-  CHECK((pace.next_permitted(start + 10ms) == start + 10ms));
-  pace.record(start + 10ms);
-  CHECK((pace.next_permitted(start + 10ms) == start + 20ms));
+  CHECK((limiter.next_permitted(start) == start + 10ms));
+  CHECK((limiter.next_permitted(start + 10ms) == start + 10ms));
+  limiter.record(start + 10ms);
+  CHECK((limiter.next_permitted(start + 10ms) == start + 20ms));
 }
 
 // A sender whose peer a poller of its own writes to while it is slow.
 struct Sending {
   explicit Sending(std::size_t bound);
   Pair pair;
-  net::Poller writer{"writer"};
+  net::Poller slow_writer_poller{"writer"};
   std::shared_ptr<net::Sender<struct Written>> sender;
 };
 
@@ -32,21 +32,21 @@
   int number = 0;
   std::size_t times = 1;
 };
-std::string word(const Written& item) {
+std::string serialize(const Written& item) {
   std::string out;
   for (std::size_t i = 0; i < item.times; ++i) out += "<" + std::to_string(item.number) + ">";
   return out;
 }
 
 Sending::Sending(std::size_t bound)
-    : sender(
-          std::make_shared<net::Sender<Written>>(bound, pair.socket, word, [this] { writer.add(sender); })) {}
+    : sender(std::make_shared<net::Sender<Written>>(bound, pair.socket, serialize,
+                                                    [this] { slow_writer_poller.add(sender); })) {}
 
-TEST_CASE("an item whose grant is over never leaves, and is found again as never sent; the others leave") {
+TEST_CASE("an expired item is never written, and withdraw() finds it as never sent; the others are written") {
   Pair pair;
-  const auto until = [](const Written& item) { return item.number == 2 ? Time{} : Time::max(); };
+  const auto expiry_of = [](const Written& item) { return item.number == 2 ? Time{} : Time::max(); };
   net::Sender<Written> sender(
-      1000, pair.socket, word, [] {}, {}, until);
+      1000, pair.socket, serialize, [] {}, {}, expiry_of);
   for (int n = 1; n <= 3; ++n) CHECK(sender.add({n}, 10));
   CHECK(sender.is_idle() == false);  // not up yet
   sender.open();
@@ -58,7 +58,7 @@
   CHECK_FALSE(sender.withdraw(is(2)));
 }
 
-TEST_CASE("a request that the socket did not take is found again as never sent") {
+TEST_CASE("withdraw() finds a request of which the socket has accepted nothing") {
   Sending sending(1000);
   Pair& pair = sending.pair;
   auto& sender = *sending.sender;
@@ -78,7 +78,7 @@
 }
 
 // Found on the bench: the link was reset between its opening and the first write, and the loop held the lock.
-TEST_CASE("a connection that breaks before what waits has left gives it back and holds nobody up") {
+TEST_CASE("a connection that breaks before its queued items are written gives them back without a deadlock") {
   Sending sending(1000);
   Pair& pair = sending.pair;
   auto& sender = *sending.sender;
@@ -89,8 +89,7 @@
   for (int n = 1; n <= 2; ++n) CHECK(sender.withdraw([n](const Written& i) { return i.number == n; }));
 }
 
-TEST_CASE(
-    "who adds never waits for a slow peer, all leaves in order, and over the bound the sender refuses") {
+TEST_CASE("add() never waits for a slow peer, all is written in order, and over the bound it is rejected") {
   Sending sending(2000);
   Pair& pair = sending.pair;
   auto& sender = *sending.sender;
--- a/tests/node/net_test.cpp
+++ b/tests/node/net_test.cpp
@@ -81,19 +81,20 @@
   running.server->wait();
 }
 
-TEST_CASE("connections to engines cost no thread each, and each that ends is told of, also one never up") {
+TEST_CASE(
+    "engine connections cost no thread each, and the end of each is reported, also of one never connected") {
   Listening engine, gone;
   net::Inbox inbox(200);
   const std::vector<std::string> fields;
   figures::Figures figures({});
-  net::Poller dock("dock"), writer("writer");
+  net::Poller engine_poller("engines"), slow_writer_poller("writer");
   const auto before = threads();
   std::vector<std::shared_ptr<net::EngineConnection>> links;
   const auto open = [&](const config::Endpoint& at) {
     const dispatch::EngineConnectionId id{static_cast<std::uint64_t>(links.size())};
-    links.push_back(
-        std::make_shared<net::EngineConnection>(id, at, Time::max(), fields, inbox, writer, figures));
-    dock.add(links.back());
+    links.push_back(std::make_shared<net::EngineConnection>(id, at, Time::max(), fields, inbox,
+                                                            slow_writer_poller, figures));
+    engine_poller.add(links.back());
   };
   std::vector<std::unique_ptr<Peer>> ends;
   for (int i = 0; i < 40; ++i) {
