--- a/src/admin/admin_listener.cpp
+++ b/src/admin/admin_listener.cpp
@@ -9,6 +9,8 @@
 #include <system_error>
 #include <utility>
 
+#include "net/listening_socket.h"
+
 namespace yokestream::admin {
 namespace {
 
@@ -24,24 +26,24 @@
 
 // One caller: its request line is read, then the answer is written and the connection closed. The poller's
 // thread only.
-class AdminListener::Connection : public net::Watched {
+class AdminListener::Connection : public net::Pollable {
  public:
   Connection(AdminListener& listener, net::Fd fd)
       : listener_(listener), socket_(std::move(fd)), deadline_(net::now() + kConnectionTimeout) {}
 
   int descriptor() const override { return socket_.descriptor(); }
-  Time due() const override { return deadline_; }
-  void end() override { listener_.remove_connection(this); }
-  void abort() { socket_.break_off(); }
-
-  Look look(Time now, bool) override {
-    if (now >= deadline_) return Look::ended;
-    if (!answered_ && !read_request()) return Look::ended;
-    if (!answered_) return Look::again;
-    const auto written = socket_.write_now(unsent_answer_);
-    if (!written) return Look::ended;
+  Time next_due() const override { return deadline_; }
+  void on_closed() override { listener_.remove_connection(this); }
+  void abort() { socket_.abort(); }
+
+  PollResult on_ready(Time now, bool) override {
+    if (now >= deadline_) return PollResult::closed;
+    if (!answered_ && !read_request()) return PollResult::closed;
+    if (!answered_) return PollResult::wait_readable;
+    const auto written = socket_.try_write(unsent_answer_);
+    if (!written) return PollResult::closed;
     unsent_answer_.erase(0, *written);
-    return unsent_answer_.empty() ? Look::ended : Look::writable;
+    return unsent_answer_.empty() ? PollResult::closed : PollResult::wait_writable;
   }
 
  private:
@@ -49,7 +51,7 @@
   bool read_request() {
     std::array<char, kReadBytes> bytes;
     for (int reads = 0; reads < kMaxReadsPerTurn; ++reads) {
-      const auto size = socket_.read_now(bytes.data(), bytes.size());
+      const auto size = socket_.try_read(bytes.data(), bytes.size());
       if (!size) break;
       if (*size == 0) reader_.end();
       reader_.feed({bytes.data(), *size});
@@ -72,7 +74,7 @@
 };
 
 // The listening socket. The poller's thread only.
-class AdminListener::Acceptor : public net::Watched {
+class AdminListener::Acceptor : public net::Pollable {
  public:
   Acceptor(AdminListener& listener, const config::Endpoint& endpoint)
       : fd_(net::listen_on(endpoint)), listener_(listener) {
@@ -81,25 +83,25 @@
   }
   const net::Fd& fd() const { return fd_; }
   int descriptor() const override { return fd_.get(); }
-  Time due() const override { return retry_at_; }
-  void end() override {}
+  Time next_due() const override { return retry_at_; }
+  void on_closed() override {}
 
   // Failure: no descriptor is free. Symptom: accept() fails at once, again and again, on a spinning thread.
   // Guard: it is tried again after a delay; who waits is accepted then.
-  Look look(Time now, bool) override {
+  PollResult on_ready(Time now, bool) override {
     retry_at_ = Time::max();
     for (std::size_t attempts = 0; attempts < kMaxConnections; ++attempts) {
       net::Fd connection(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC));
       if (connection) {
         listener_.add_connection(std::move(connection));
       } else if (errno == EAGAIN) {
-        return Look::again;
+        return PollResult::wait_readable;
       } else if (errno != EINTR && errno != ECONNABORTED) {
         retry_at_ = now + kAcceptRetryDelay;
-        return Look::later;
+        return PollResult::wait_until_due;
       }
     }
-    return Look::again;  // the rest after the other connections have had their turn
+    return PollResult::wait_readable;  // the rest after the other connections have had their turn
   }
 
  private:
@@ -114,7 +116,7 @@
       on_first_ready_(std::move(on_first_ready)),
       acceptor_(std::make_shared<Acceptor>(*this, endpoint)),
       poller_("operators") {
-  poller_.admit(acceptor_);
+  poller_.add(acceptor_);
 }
 
 AdminListener::~AdminListener() = default;
@@ -129,7 +131,7 @@
     connections_.pop_front();
   }
   connections_.push_back(std::make_shared<Connection>(*this, std::move(fd)));
-  poller_.admit(std::weak_ptr<net::Watched>(connections_.back()));
+  poller_.add(std::weak_ptr<net::Pollable>(connections_.back()));
 }
 
 void AdminListener::remove_connection(const Connection* connection) {
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -8,6 +8,7 @@
 
 #include "cli/commands.h"
 #include "cli/log.h"
+#include "net/listening_socket.h"
 #include "net/server.h"
 #include "operator/operator_file.h"
 
--- a/src/discovery/discovery_watcher.cpp
+++ b/src/discovery/discovery_watcher.cpp
@@ -40,7 +40,7 @@
   {
     const std::lock_guard lock(mutex_);
     stopping_ = true;
-    if (socket_) socket_->break_off();
+    if (socket_) socket_->abort();
     changed_.notify_all();
   }
   thread_.join();
@@ -50,7 +50,7 @@
   const std::lock_guard lock(mutex_);
   if (feed == feed_) return;
   feed_ = feed;
-  if (socket_) socket_->break_off();
+  if (socket_) socket_->abort();
   changed_.notify_all();
 }
 
@@ -97,7 +97,7 @@
     return false;
   }
   const std::string subscription = protocol::encode_subscription(to_string(feed), kPath, last_event_);
-  return socket.write(subscription) == net::Socket::Written::all;
+  return socket.write(subscription) == net::Socket::WriteResult::all;
 }
 
 // Failure: an event is missing on a connection. Symptom: the endpoint list stays wrong until a restart.
--- a/src/dispatch/admission_stages.cpp
+++ b/src/dispatch/admission_stages.cpp
@@ -56,7 +56,7 @@
   arrival.member = static_cast<std::size_t>(request.tenant);
   arrival.cls = static_cast<std::size_t>(request.query_class);
   arrival.client = config_.door.by_connection ? static_cast<std::uint64_t>(request.session) : origin;
-  arrival.told = request.work ? seconds_of(*request.work) : 0;
+  arrival.estimated_work_s = request.work ? seconds_of(*request.work) : 0;
   arrival.threads = class_of(request).threads;
   arrival.deadline = request.deadline;
   return throttle_->arrive(now, arrival);
@@ -80,7 +80,7 @@
   arrival.query = query;
   arrival.member = static_cast<std::size_t>(request.tenant);
   arrival.cls = static_cast<std::size_t>(request.query_class);
-  arrival.told = estimate_s;
+  arrival.estimated_work_s = estimate_s;
   arrival.threads = cls.threads;
   arrival.deadline = request.deadline;
   arrival.wanted = now + cls.latency_objective +
--- a/src/dispatch/attempt_tracker.cpp
+++ b/src/dispatch/attempt_tracker.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-void AttemptTracker::give_up(QueryId query, Request& request, Outcome outcome) {
+void AttemptTracker::abandon(QueryId query, Request& request, Outcome outcome) {
   Attempt& attempt = *request.attempt;
   const std::string& request_id = request.received.request_id;
   const bool unwritten = withdraw(attempt);
@@ -111,7 +111,7 @@
 void AttemptTracker::handle(const ResponseDeadline& deadline) {
   Request& request = use_.requests.at(deadline.query);
   request.response_deadline = use_.timers.none();
-  if (request.attempt) give_up(deadline.query, request, Outcome::timed_out);
+  if (request.attempt) abandon(deadline.query, request, Outcome::timed_out);
 }
 
 void AttemptTracker::handle(const AttemptTimer& timer) {
@@ -122,7 +122,7 @@
     if (withdraw(attempt)) end(timer.query, *request, Outcome::never_sent);
     return;
   }
-  if (timer.outcome == Outcome::timed_out) return give_up(timer.query, *request, Outcome::timed_out);
+  if (timer.outcome == Outcome::timed_out) return abandon(timer.query, *request, Outcome::timed_out);
   const Time now = use_.clock.now();
   if (use_.connections.find(attempt.connection)->last_activity > timer.scheduled_at) {
     // The engine is only slow: closing the connection would cost all that runs there.
@@ -139,11 +139,11 @@
   Attempt& attempt = *request->attempt;
   if (attempt.number != cancel.attempt || attempt.phase == AttemptPhase::cancelling) return;
   if (attempt.phase == AttemptPhase::fetching) {  // it has run, and only its pages are on the way
-    if (request->answered) give_up(cancel.query, *request, Outcome::cancelled);
+    if (request->answered) abandon(cancel.query, *request, Outcome::cancelled);
     return;
   }
   if (withdraw(attempt)) return end(cancel.query, *request, Outcome::never_sent);
-  if (request->answered) return give_up(cancel.query, *request, Outcome::cancelled);
+  if (request->answered) return abandon(cancel.query, *request, Outcome::cancelled);
   attempt.phase = AttemptPhase::cancelling;
   use_.engines.cancel(attempt.connection, request->received.request_id);
   use_.engines.ping(attempt.connection, cancel_confirmation_tag(attempt.tag));
--- a/src/dispatch/attempt_tracker.h
+++ b/src/dispatch/attempt_tracker.h
@@ -58,7 +58,7 @@
   // Ends the attempt: notifies the decision module, and forgets the request if it is done.
   void end(policy::QueryId query, Request& request, policy::Outcome outcome);
   // The same from this side, now: the engine is notified where it may still run, late responses are dropped.
-  void give_up(policy::QueryId query, Request& request, policy::Outcome outcome);
+  void abandon(policy::QueryId query, Request& request, policy::Outcome outcome);
 
   // Withdraws unwritten attempts at engines that are no longer available.
   void withdraw_from_unavailable();
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -55,7 +55,6 @@
                        Budget& budget, ClientPort& clients, EnginePort& engines, Log& log,
                        std::optional<snapshot::RestoredState> inherited)
     : config_(config),
-      engines_(engines),
       log_(log),
       clock_(now),
       directory_(config.real, std::move(from_unix)),
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -130,7 +130,6 @@
   void publish_engine_counts();
 
   const config::Config& config_;
-  EnginePort& engines_;
   Log& log_;
   DispatchClock clock_;
   TimerQueue timers_;
--- a/src/dispatch/response_handler.cpp
+++ b/src/dispatch/response_handler.cpp
@@ -126,7 +126,7 @@
   if (response.page_count > kMaxResultPages ||
       !use_.budget.try_reserve(attempt.memory_reservation, response.body.size())) {
     use_.log.write("result dropped: cause=\"too large, or results exceed the memory budget\"");
-    return use_.attempts.give_up(query, request, Outcome::error);
+    return use_.attempts.abandon(query, request, Outcome::error);
   }
   attempt.elapsed = use_.clock.now() - attempt.sent_at;
   attempt.response = std::move(response);
@@ -143,7 +143,7 @@
   if (!is_valid_page(response, false)) return on_corrupt_response(attempt.connection);
   if (!use_.budget.try_reserve(attempt.memory_reservation, response.body.size())) {
     use_.log.write("result dropped: cause=\"results exceed the memory budget\"");
-    return use_.attempts.give_up(query, request, Outcome::error);
+    return use_.attempts.abandon(query, request, Outcome::error);
   }
   attempt.pages.emplace(response.page_index, std::move(response.body));
   if (attempt.pages.size() + 1 < attempt.response.page_count) return;
--- a/src/door/door.cpp
+++ b/src/door/door.cpp
@@ -126,13 +126,14 @@
   }
   const bool kept = places_.take(now, key).has_value();
   figures_.kept += kept;
-  const double cost = cost_.charge(member, arrival.cls, arrival.told);
+  const double cost = cost_.charge(member, arrival.cls, arrival.estimated_work_s);
   const auto queue = static_cast<std::uint32_t>(clients_.queue(now, member, key, cost));
   const auto cls = static_cast<std::uint32_t>(arrival.cls);
   if (queue_.count(member) == 0 && may_pass(member, arrival.threads)) {
     queue_.pass(member, queue, cost);
     enter(now, arrival.query,
-          {static_cast<std::uint32_t>(member), queue, cls, arrival.told, cost, arrival.threads, now});
+          {static_cast<std::uint32_t>(member), queue, cls, arrival.estimated_work_s, cost, arrival.threads,
+           now});
     ++figures_.passed_at_once;
     figures_.kept_in += kept;
     return {Ruling::pass, {}, cost};
@@ -152,7 +153,7 @@
   }
   const FairQueue::Ref ref = queue_.push(
       {arrival.query, static_cast<std::uint32_t>(member), queue, cost, arrival.threads, latest}, kept);
-  waits_[arrival.query] = Waits{ref, cls, arrival.told, key};
+  waits_[arrival.query] = Waits{ref, cls, arrival.estimated_work_s, key};
   ++figures_.waited;
   figures_.kept_in += kept;
   return {Ruling::wait, {}, cost};
--- a/src/door/door.h
+++ b/src/door/door.h
@@ -38,9 +38,9 @@
 struct Arrival {
   QueryId query{};
   std::size_t member = 0, cls = 0;
-  std::uint64_t client = 0;  // who shares a queue and may claim a kept place
-  double told = 0;           // the estimate, in seconds of one core; 0: none
-  double threads = 1;        // that it runs on
+  std::uint64_t client = 0;     // who shares a queue and may claim a kept place
+  double estimated_work_s = 0;  // the estimate, in seconds of one core; 0: none
+  double threads = 1;           // that it runs on
   Time deadline{};
 };
 
--- a/src/net/client_port_adapter.cpp
+++ b/src/net/client_port_adapter.cpp
@@ -19,52 +19,52 @@
 }
 
 void ClientPortAdapter::finish_settled_sessions() {
-  for (auto& [id, session] : sessions_) session->finish_if_settled();
+  for (auto& [id, session] : sessions_) session->close_after_writes_if_settled();
 }
 
 void ClientPortAdapter::send_result(dispatch::SessionId id, dispatch::CallId call, dispatch::Result result) {
-  if (auto* session = find(id)) session->serve(call, std::move(result));
+  if (auto* session = find(id)) session->send_result(call, std::move(result));
 }
 
 void ClientPortAdapter::send_rejection(dispatch::SessionId id, dispatch::CallId call, Duration retry_after) {
-  if (auto* session = find(id)) session->refuse(call, retry_after);
+  if (auto* session = find(id)) session->send_rejection(call, retry_after);
 }
 
 void ClientPortAdapter::send_failure(dispatch::SessionId id, dispatch::CallId call, std::string_view cause) {
-  if (auto* session = find(id)) session->fail(call, cause);
+  if (auto* session = find(id)) session->send_failure(call, cause);
 }
 
 void ClientPortAdapter::send_readiness(dispatch::SessionId id, dispatch::CallId call, bool ready) {
-  if (auto* session = find(id)) session->answer_probe(call, ready);
+  if (auto* session = find(id)) session->send_readiness(call, ready);
 }
 
 void ClientPortAdapter::attach_quote(dispatch::SessionId id, dispatch::CallId call,
                                      const queues::Quote& quote) {
   if (!settings_.quote_method) return;
-  if (auto* session = find(id)) session->quoted(call, quote);
+  if (auto* session = find(id)) session->attach_quote(call, quote);
 }
 
 void ClientPortAdapter::send_quote(dispatch::SessionId id, dispatch::CallId call,
                                    const queues::Quote& quote) {
-  if (auto* session = find(id)) session->answer_quote(call, quote);
+  if (auto* session = find(id)) session->send_quote(call, quote);
 }
 
 void ClientPortAdapter::close(dispatch::SessionId id) {
-  if (auto* session = find(id)) session->break_off("closed by the core");
+  if (auto* session = find(id)) session->abort("closed by the core");
 }
 
 bool ClientPortAdapter::close_if_idle(dispatch::SessionId id) {
   auto* session = find(id);
-  return session && session->break_off_idle();
+  return session && session->abort_if_idle();
 }
 
 void ClientPortAdapter::close_after_responses(dispatch::SessionId id) {
-  if (auto* session = find(id)) session->finish();
+  if (auto* session = find(id)) session->close_after_writes();
 }
 
 bool ClientPortAdapter::has_disconnected(dispatch::SessionId id) {
   const auto* session = find(id);
-  return session && session->client_has_left();
+  return session && session->peer_has_closed();
 }
 
 }  // namespace yokestream::net
--- a/src/net/dispatcher_loop.cpp
+++ b/src/net/dispatcher_loop.cpp
@@ -72,7 +72,7 @@
 // Failure: many events come at once, as when an engine dies. Symptom: answers that fall due meanwhile are
 // late. Guard: what is due happens after each event.
 void DispatcherLoop::run_iteration() {
-  auto events = components_.events.take_until(dispatcher_.next_due());
+  auto events = components_.events.drain_until(dispatcher_.next_due());
   const Time began = now();
   for (auto& event : events) {
     handle(std::move(event));
@@ -141,7 +141,7 @@
   }
   if (closed_connection) components_.engine_port.close(*closed_connection);
   if (sender) {
-    if (auto* session = components_.client_port.find(*sender)) session->taken();
+    if (auto* session = components_.client_port.find(*sender)) session->release_message_credit();
   }
 }
 
@@ -166,7 +166,7 @@
   while ((first_pass || !components_.client_port.empty()) && now() < deadline) {
     first_pass = false;
     components_.client_port.finish_settled_sessions();
-    for (auto& event : components_.events.take_until(std::min(deadline, now() + kSettleInterval)))
+    for (auto& event : components_.events.drain_until(std::min(deadline, now() + kSettleInterval)))
       handle(std::move(event));
     dispatcher_.tick(now());
   }
--- a/src/net/engine_port_adapter.cpp
+++ b/src/net/engine_port_adapter.cpp
@@ -14,21 +14,21 @@
       writer_(writer),
       dispatcher_(dispatcher) {}
 
-EngineLink* EnginePortAdapter::find(dispatch::EngineConnectionId id) {
+EngineConnection* EnginePortAdapter::find(dispatch::EngineConnectionId id) {
   const auto found = connections_.find(id);
   return found == connections_.end() ? nullptr : found->second.get();
 }
 
 void EnginePortAdapter::write(dispatch::EngineConnectionId id, std::string command) {
-  if (auto* connection = find(id)) connection->say(std::move(command));
+  if (auto* connection = find(id)) connection->send_command(std::move(command));
 }
 
 void EnginePortAdapter::connect(dispatch::EngineConnectionId id, const config::Endpoint& endpoint,
                                 Time deadline) {
-  const auto connection = std::make_shared<EngineLink>(id, endpoint, deadline, settings_.report_fields,
+  const auto connection = std::make_shared<EngineConnection>(id, endpoint, deadline, settings_.report_fields,
                                                        events_, writer_, dispatcher_.metrics());
   connections_.emplace(id, connection);
-  engine_poller_.admit(connection);
+  engine_poller_.add(connection);
 }
 
 void EnginePortAdapter::send(dispatch::EngineConnectionId id, dispatch::AttemptTag tag,
@@ -65,7 +65,7 @@
 
 // The poller may hold the connection a little longer.
 void EnginePortAdapter::close(dispatch::EngineConnectionId id) {
-  if (auto closed = connections_.extract(id)) closed.mapped()->break_off();
+  if (auto closed = connections_.extract(id)) closed.mapped()->abort();
 }
 
 }  // namespace yokestream::net
--- a/src/net/engine_port_adapter.h
+++ b/src/net/engine_port_adapter.h
@@ -11,7 +11,7 @@
 #include "config/settings.h"
 #include "dispatch/dispatcher.h"
 #include "dispatch/ports.h"
-#include "net/engine_link.h"
+#include "net/engine_connection.h"
 #include "net/events.h"
 #include "net/poller.h"
 
@@ -38,7 +38,7 @@
   void close(dispatch::EngineConnectionId id) override;
 
  private:
-  EngineLink* find(dispatch::EngineConnectionId id);
+  EngineConnection* find(dispatch::EngineConnectionId id);
   void write(dispatch::EngineConnectionId id, std::string command);
 
   const config::RealSettings& settings_;
@@ -46,7 +46,7 @@
   Poller& engine_poller_;
   Poller& writer_;
   dispatch::Dispatcher& dispatcher_;
-  std::map<dispatch::EngineConnectionId, std::shared_ptr<EngineLink>> connections_;
+  std::map<dispatch::EngineConnectionId, std::shared_ptr<EngineConnection>> connections_;
 };
 
 }  // namespace yokestream::net
--- a/src/net/events.h
+++ b/src/net/events.h
@@ -8,7 +8,7 @@
 #include "coordination/fleet_member.h"
 #include "dispatch/ports.h"
 #include "door/settings.h"
-#include "net/queue.h"
+#include "net/event_queue.h"
 #include "net/socket.h"
 #include "queues/settings.h"
 #include "routing/router.h"
@@ -41,6 +41,6 @@
 using DriverEvent =
     std::variant<dispatch::Event, ClientAccepted, ConfigurationReloaded, LoadGrantChanged, RoutesChanged>;
 // Any thread posts, the dispatcher's takes.
-using DispatcherQueue = Mailbox<DriverEvent>;
+using DispatcherQueue = EventQueue<DriverEvent>;
 
 }  // namespace yokestream::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -27,7 +27,7 @@
 }  // namespace
 
 Listener::Listener(const config::Config& config, const AcceptGate& gate, dispatch::Budget& session_slots,
-                   dispatch::Budget& memory_budget, DispatcherQueue& events, Readers& readers,
+                   dispatch::Budget& memory_budget, DispatcherQueue& events, ReaderPool& reader_pool,
                    dispatch::Log& log)
     : fd_(config.listen_fd ? inherited_listener(*config.listen_fd) : listen_on(config.listen)),
       stop_event_(::eventfd(0, EFD_CLOEXEC)),
@@ -36,7 +36,7 @@
       memory_budget_(memory_budget),
       session_slots_(session_slots),
       events_(events),
-      readers_(readers),
+      reader_pool_(reader_pool),
       log_(log) {
   if (!stop_event_ || ::fcntl(fd_.get(), F_SETFL, O_NONBLOCK) != 0)
     throw std::system_error(errno, std::generic_category(), "cannot wait for clients");
@@ -99,9 +99,9 @@
   setsockopt(connection.get(), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
   const dispatch::SessionId id{++last_session_};
   const auto session = std::make_shared<ClientSession>(id, std::move(connection), std::move(slot), settings_,
-                                                       memory_budget_, events_, readers_, log_);
+                                                       memory_budget_, events_, reader_pool_, log_);
   events_.post(ClientAccepted{id, origin, session});
-  readers_.lobby.admit(session);
+  reader_pool_.client_poller.add(session);
 }
 
 }  // namespace yokestream::net
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -5,6 +5,7 @@
 #include "net/accept_gate.h"
 #include "net/client_session.h"
 #include "net/events.h"
+#include "net/listening_socket.h"
 #include "net/thread.h"
 
 namespace yokestream::net {
@@ -16,7 +17,8 @@
   // `session_slots`: connections that may be open at once; each connection holds one and may outlive the
   // listener. All references outlive it. Throws std::system_error.
   Listener(const config::Config& config, const AcceptGate& gate, dispatch::Budget& session_slots,
-           dispatch::Budget& memory_budget, DispatcherQueue& events, Readers& readers, dispatch::Log& log);
+           dispatch::Budget& memory_budget, DispatcherQueue& events, ReaderPool& reader_pool,
+           dispatch::Log& log);
   ~Listener();  // accepts no more; joins
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
@@ -38,7 +40,7 @@
   dispatch::Budget& memory_budget_;
   dispatch::Budget& session_slots_;
   DispatcherQueue& events_;
-  Readers& readers_;
+  ReaderPool& reader_pool_;
   dispatch::Log& log_;
   std::uint64_t last_session_ = 0;  // thread_ only
   Thread thread_;                   // last: it uses the rest
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -19,7 +19,7 @@
       engine_poller_("engine-poller"),
       client_poller_("client-poller"),
       writer_poller_("writer"),
-      readers_{dispatch::Budget(kMaxReaders), client_poller_, writer_poller_},
+      reader_pool_{dispatch::Budget(kMaxReaders), client_poller_, writer_poller_},
       client_port_(config.real),
       engine_port_(config.real, events_, engine_poller_, writer_poller_, dispatcher_),
       dispatcher_(config, now(), from_unix_ms, memory_budget_, client_port_, engine_port_, log,
@@ -27,7 +27,7 @@
   discovery_ = std::make_unique<discovery::DiscoveryWatcher>(config.feed, config.known_number, config.seed,
                                                              events_, log);
   listener_ = std::make_unique<Listener>(config, accept_gate_, session_slots_, memory_budget_, events_,
-                                         readers_, log);
+                                         reader_pool_, log);
   if (upgrade::is_enabled(config))
     upgrade_.emplace(config, accept_gate_, session_slots_, memory_budget_, dispatcher_);
   // A successor accepts clients once it was asked whether it is ready: until then its predecessor serves.
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -62,7 +62,7 @@
   Poller engine_poller_;
   Poller client_poller_;
   Poller writer_poller_;
-  Readers readers_;
+  ReaderPool reader_pool_;
   SessionReaper session_reaper_;
   ClientPortAdapter client_port_;  // the dispatcher's thread only, as the next two
   EnginePortAdapter engine_port_;
--- a/src/net/session_reaper.cpp
+++ b/src/net/session_reaper.cpp
@@ -7,7 +7,7 @@
 
 SessionReaper::SessionReaper() : retired_(std::numeric_limits<std::size_t>::max()) {
   thread_ = Thread("session-reaper", kSmallStack, [this] {
-    while (retired_.take()) {
+    while (retired_.pop()) {
       // What was taken is destroyed here.
     }
   });
@@ -16,10 +16,10 @@
 SessionReaper::~SessionReaper() { retired_.finish(); }
 
 void SessionReaper::retire(std::shared_ptr<ClientSession> session) {
-  session->break_off("its session has ended");
-  retired_.add(std::move(session), 0);
+  session->abort("its session has ended");
+  retired_.try_push(std::move(session), 0);
 }
 
-void SessionReaper::retire(std::unique_ptr<Listener> listener) { retired_.add(std::move(listener), 0); }
+void SessionReaper::retire(std::unique_ptr<Listener> listener) { retired_.try_push(std::move(listener), 0); }
 
 }  // namespace yokestream::net
--- a/src/net/session_reaper.h
+++ b/src/net/session_reaper.h
@@ -5,9 +5,9 @@
 #include <memory>
 #include <variant>
 
+#include "net/bounded_work_queue.h"
 #include "net/client_session.h"
 #include "net/listener.h"
-#include "net/queue.h"
 #include "net/thread.h"
 
 namespace yokestream::net {
@@ -25,7 +25,7 @@
 
  private:
   using Retired = std::variant<std::shared_ptr<ClientSession>, std::unique_ptr<Listener>>;
-  Outbox<Retired> retired_;
+  BoundedWorkQueue<Retired> retired_;
   Thread thread_;  // last: it uses the rest
 };
 
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -15,26 +15,20 @@
 #include <cstring>
 #include <system_error>
 
+#include "net/socket_address.h"
+
 namespace yokestream::net {
 namespace {
 
-sockaddr_in address_of(const config::Endpoint& endpoint) {
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  address.sin_port = htons(endpoint.port);
-  inet_pton(AF_INET, endpoint.host.c_str(), &address.sin_addr);
-  return address;
-}
-
-// The kernel counts from the call, so what is left until the deadline is set right before it.
-void bound_by(int fd, int option, Time deadline) {
+// The kernel counts from the call, so the time left until the deadline is set right before it.
+void set_timeout(int fd, int option, Time deadline) {
   const auto left = std::max<std::int64_t>(
       1000, std::chrono::duration_cast<std::chrono::microseconds>(deadline - now()).count());
   const timeval value{static_cast<time_t>(left / 1000000), static_cast<suseconds_t>(left % 1000000)};
   setsockopt(fd, SOL_SOCKET, option, &value, sizeof value);
 }
 
-// What Linux documents for a lack on this side; all else is the peer's or the network's word.
+// The errors that Linux documents for a local shortage; all others come from the peer or the network.
 ConnectFailure failure_of(int error) {
   switch (error) {
     case EMFILE:
@@ -52,10 +46,15 @@
   }
 }
 
-// For now there is no room, or no memory: to be tried again, and no end of a connection.
-bool is_passing(int error) { return error == EAGAIN || error == ENOBUFS || error == ENOMEM; }
+// No buffer or no memory for now: to be retried, and no end of the connection.
+bool is_transient(int error) { return error == EAGAIN || error == ENOBUFS || error == ENOMEM; }
+
+bool fail(ConnectFailure* failure, ConnectFailure value) {
+  *failure = std::move(value);
+  return false;
+}
 
-void send_at_once(int fd) {
+void disable_nagle(int fd) {
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
@@ -73,31 +72,37 @@
 }
 
 bool Socket::connect(const config::Endpoint& endpoint, Time deadline, ConnectFailure* failure) {
-  const Begun begun = begin_connect(endpoint, failure);
-  if (begun != Begun::pending) return begun == Begun::up;
+  const ConnectStatus begun = start_connect(endpoint, failure);
+  if (begun != ConnectStatus::pending) return begun == ConnectStatus::connected;
   pollfd writable{fd_.get(), POLLOUT, 0};
   while (true) {
     const int ready = ::poll(&writable, 1, milliseconds_until(deadline));
     if (ready > 0) return finish_connect(failure);
-    if (ready < 0 && errno != EINTR) return *failure = {std::strerror(errno), true}, false;
-    if (now() >= deadline) return *failure = {"not up in time", false}, false;
+    if (ready < 0 && errno != EINTR) return fail(failure, {std::strerror(errno), true});
+    if (now() >= deadline) return fail(failure, {"connect timed out", false});
   }
 }
 
-// The descriptor is opened and the connection begun under the lock: break_off() comes before either, and
-// nothing is begun, or after both, and ends it.
-Socket::Begun Socket::begin_connect(const config::Endpoint& endpoint, ConnectFailure* failure) {
+// The descriptor is opened and the connect started under the lock: abort() comes before both, and nothing is
+// started, or after both, and ends it.
+Socket::ConnectStatus Socket::start_connect(const config::Endpoint& endpoint, ConnectFailure* failure) {
   const std::lock_guard lock(mutex_);
-  if (broken_) return *failure = {"broken off", false}, Begun::failed;
+  if (aborted_) {
+    *failure = {"aborted", false};
+    return ConnectStatus::failed;
+  }
   fd_ = Fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-  if (!fd_) return *failure = {std::strerror(errno), true}, Begun::failed;
+  if (!fd_) {
+    *failure = {std::strerror(errno), true};
+    return ConnectStatus::failed;
+  }
   const sockaddr_in address = address_of(endpoint);
   const int begun = ::connect(fd_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
-  if (begun == 0) return finish_connect(failure) ? Begun::up : Begun::failed;
+  if (begun == 0) return finish_connect(failure) ? ConnectStatus::connected : ConnectStatus::failed;
   // Interrupted, it goes on by itself; a second call would fail with EALREADY.
-  if (errno == EINPROGRESS || errno == EINTR) return Begun::pending;
+  if (errno == EINPROGRESS || errno == EINTR) return ConnectStatus::pending;
   *failure = failure_of(errno);
-  return Begun::failed;
+  return ConnectStatus::failed;
 }
 
 bool Socket::finish_connect(ConnectFailure* failure) {
@@ -107,42 +112,42 @@
   if (::getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) != 0) error = errno;
   if (error == 0 && ::fcntl(fd, F_SETFL, ::fcntl(fd, F_GETFL) & ~O_NONBLOCK) != 0) error = errno;
   if (error != 0) *failure = failure_of(error);
-  if (error == 0) send_at_once(fd);
+  if (error == 0) disable_nagle(fd);
   return error == 0;
 }
 
-// What ended and what is only silent is told apart by the kernel's word alone, never by the clock: a bounded
-// wait that ends before the deadline it was set for is no end of the connection.
-Socket::Waited Socket::wait_until(Time deadline) {
+// Failure: a bounded wait ends before its deadline. Symptom: it is mistaken for the end of the connection.
+// Guard: closed and silent are told apart by the kernel's result alone, never by the clock.
+Socket::WaitResult Socket::wait_readable(Time deadline) {
   char first = 0;
   const auto got = receive(&first, 1, deadline, MSG_PEEK);
-  if (got > 0) return Waited::something;
-  return got < 0 && is_passing(errno) ? Waited::nothing : Waited::ended;
+  if (got > 0) return WaitResult::readable;
+  return got < 0 && is_transient(errno) ? WaitResult::timed_out : WaitResult::closed;
 }
 
 std::size_t Socket::read_until(char* into, std::size_t size, Time deadline) {
   return static_cast<std::size_t>(std::max<std::ptrdiff_t>(0, receive(into, size, deadline, 0)));
 }
 
-std::optional<std::size_t> Socket::read_now(char* into, std::size_t size) {
+std::optional<std::size_t> Socket::try_read(char* into, std::size_t size) {
   const std::lock_guard lock(mutex_);
-  while (!broken_) {
+  while (!aborted_) {
     const ssize_t got = ::recv(fd_.get(), into, size, MSG_DONTWAIT);
-    if (got > 0 && finished_) return std::nullopt;
+    if (got > 0 && write_shut_down_) return std::nullopt;
     if (got >= 0) return static_cast<std::size_t>(got);
-    if (is_passing(errno)) return std::nullopt;
+    if (is_transient(errno)) return std::nullopt;
     if (errno != EINTR) return 0;
   }
   return 0;
 }
 
-std::optional<std::size_t> Socket::write_now(std::string_view bytes) {
+std::optional<std::size_t> Socket::try_write(std::string_view bytes) {
   std::size_t done = 0;
   while (done < bytes.size()) {
     const ssize_t sent =
         ::send(fd_.get(), bytes.data() + done, bytes.size() - done, MSG_NOSIGNAL | MSG_DONTWAIT);
     if (sent < 0 && errno == EINTR) continue;
-    if (sent < 0 && is_passing(errno)) break;
+    if (sent < 0 && is_transient(errno)) break;
     if (sent < 0) return std::nullopt;
     done += static_cast<std::size_t>(sent);
   }
@@ -150,31 +155,34 @@
 }
 
 std::ptrdiff_t Socket::receive(char* into, std::size_t size, Time deadline, int flags) {
-  if (deadline == Time::max() && std::exchange(bounded_, false)) {
+  if (deadline == Time::max() && std::exchange(read_timeout_set_, false)) {
     const timeval forever{0, 0};
     setsockopt(fd_.get(), SOL_SOCKET, SO_RCVTIMEO, &forever, sizeof forever);
   }
   ssize_t got = 0;
   do {
     // Set before each call: a process that is stopped and goes on finds its bounded reads interrupted.
-    if (deadline != Time::max()) bound_by(fd_.get(), SO_RCVTIMEO, deadline), bounded_ = true;
+    if (deadline != Time::max()) {
+      set_timeout(fd_.get(), SO_RCVTIMEO, deadline);
+      read_timeout_set_ = true;
+    }
     got = ::recv(fd_.get(), into, size, flags);
   } while (got < 0 && errno == EINTR);
   return got;
 }
 
-Socket::Written Socket::write(std::string_view bytes) {
+Socket::WriteResult Socket::write(std::string_view bytes) {
   const std::size_t size = bytes.size();
   while (!bytes.empty()) {
     const ssize_t sent = ::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
     if (sent < 0 && errno == EINTR) continue;
-    if (sent <= 0) return bytes.size() == size ? Written::none : Written::some;
+    if (sent <= 0) return bytes.size() == size ? WriteResult::none : WriteResult::partial;
     bytes.remove_prefix(static_cast<std::size_t>(sent));
   }
-  return Written::all;
+  return WriteResult::all;
 }
 
-bool Socket::unread() const {
+bool Socket::has_unread_bytes() const {
   int bytes = 0;
   return fd_ && ::ioctl(fd_.get(), FIONREAD, &bytes) == 0 && bytes > 0;
 }
@@ -187,52 +195,20 @@
   return (peer.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-void Socket::finish_writing() {
+void Socket::shutdown_write() {
   const std::lock_guard lock(mutex_);
-  finished_ = true;
-  if (fd_ && !broken_) ::shutdown(fd_.get(), SHUT_WR);
+  write_shut_down_ = true;
+  if (fd_ && !aborted_) ::shutdown(fd_.get(), SHUT_WR);
 }
 
-void Socket::break_off() {
+void Socket::abort() {
   const std::lock_guard lock(mutex_);
-  broken_off();
+  abort_locked();
 }
 
-void Socket::broken_off() {
-  broken_ = true;
+void Socket::abort_locked() {
+  aborted_ = true;
   if (fd_) ::shutdown(fd_.get(), SHUT_RDWR);
 }
 
-Fd listen_on(const config::Endpoint& endpoint) {
-  Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  const int on = 1;
-  const sockaddr_in address = address_of(endpoint);
-  if (!fd || setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0 ||
-      ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
-      ::listen(fd.get(), SOMAXCONN) != 0)
-    throw std::system_error(errno, std::generic_category(), "cannot listen on " + to_string(endpoint));
-  return fd;
-}
-
-bool is_listener(int fd) {
-  int listens = 0;
-  socklen_t size = sizeof listens;
-  return ::getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) == 0 && listens != 0;
-}
-
-Fd inherited_listener(int fd) {
-  Fd own(is_listener(fd) ? ::fcntl(fd, F_DUPFD_CLOEXEC, 0) : -1);
-  if (!own) throw std::system_error(ENOTSOCK, std::generic_category(), "no listener is handed down");
-  return own;
-}
-
-config::Endpoint local_endpoint(const Fd& fd) {
-  sockaddr_in address{};
-  socklen_t size = sizeof address;
-  getsockname(fd.get(), reinterpret_cast<sockaddr*>(&address), &size);
-  char host[INET_ADDRSTRLEN] = {};
-  inet_ntop(AF_INET, &address.sin_addr, host, sizeof host);
-  return {host, ntohs(address.sin_port)};
-}
-
 }  // namespace yokestream::net
--- a/src/protocol/msgpack_rpc.cpp
+++ b/src/protocol/msgpack_rpc.cpp
@@ -160,7 +160,7 @@
   if (parameters.shape != Shape::array || parameters.follow < 1) return OtherNotice{};
   const auto id = in.take().natural;
   if (!id) return OtherNotice{};
-  return GiveUp{*id};
+  return CancelCall{*id};
 }
 
 ClientMessage read_message(std::string_view bytes) {
--- a/src/protocol/msgpack_rpc.h
+++ b/src/protocol/msgpack_rpc.h
@@ -23,7 +23,7 @@
   Fields fields;
   std::string body;
 };
-struct GiveUp {  // [2, "giveUp", [id]]
+struct CancelCall {  // [2, "giveUp", [id]]
   std::uint64_t id = 0;
 };
 struct Probe {  // [0, id, "probe", [FIELDS]]
@@ -34,7 +34,7 @@
   std::string problem;
 };
 struct OtherNotice {};  // a notification that is not known here
-using ClientMessage = std::variant<Call, GiveUp, Probe, BadCall, OtherNotice>;
+using ClientMessage = std::variant<Call, CancelCall, Probe, BadCall, OtherNotice>;
 
 // Fed bytes as they come, in pieces of any size; yields whole messages. Remembers how far it has looked, so
 // no byte of a message is scanned twice for its end.
--- a/src/queues/queues.cpp
+++ b/src/queues/queues.cpp
@@ -188,7 +188,7 @@
 Queues::Expected Queues::expect(Time now, const Arrival& arrival, bool room) {
   Expected e;
   e.team = team_of(arrival.member);
-  e.typical = cost_.charge(arrival.member, arrival.cls, arrival.told);
+  e.typical = cost_.charge(arrival.member, arrival.cls, arrival.estimated_work_s);
   e.cost = e.typical * teams_[e.team].surcharge[arrival.cls].factor();
   const double unloaded = e.typical / std::max(1.0, arrival.threads);
   const double most = service_.stretch(e.team, arrival.cls, 0.9);
@@ -259,8 +259,8 @@
   span += (span == 0 ? 1 : kAheadWeight) * (e.span - span);
   if (at_once) {
     note_inflow(now, team, arrival.cls, e.cost);
-    In in{team, arrival.member, arrival.cls, arrival.told, e.cost, arrival.threads,
-          now,  arrival.wanted, false,       arrival.load};
+    In in{team,           arrival.member, arrival.cls, arrival.estimated_work_s, e.cost, arrival.threads, now,
+          arrival.wanted, false,          arrival.load};
     in.borrowed = accounts_.standing(now, team) == Standing::borrowing;
     enter(now, arrival.query, in);
     ++figures_.passed_at_once, ++figures_.quotes, ++figures_.quotes_right;
@@ -276,7 +276,7 @@
               static_cast<std::uint32_t>(team),
               static_cast<std::uint32_t>(arrival.cls),
               static_cast<std::uint32_t>(arrival.member),
-              arrival.told,
+              arrival.estimated_work_s,
               e.cost,
               arrival.threads,
               now,
--- a/src/queues/queues.h
+++ b/src/queues/queues.h
@@ -39,8 +39,8 @@
 struct Arrival {
   QueryId query{};
   std::size_t member = 0, cls = 0;
-  double told = 0;     // the estimate, in seconds of one core; 0: none
-  double threads = 1;  // that it runs on
+  double estimated_work_s = 0;  // the estimate, in seconds of one core; 0: none
+  double threads = 1;           // that it runs on
   Time deadline{}, wanted{};
   bool load = false;
 };
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -75,7 +75,7 @@
 }
 
 // By the hash of the request id, so that all attempts of a request use the same side under one rule.
-Route Router::route(Time now, TableGroupId area, bool repeatable, std::string_view request_id) const {
+Route Router::route(Time now, TableGroupId area, bool idempotent, std::string_view request_id) const {
   if (!std::binary_search(movable_areas_.begin(), movable_areas_.end(), area)) return {};
   const auto it =
       std::lower_bound(rules_.begin(), rules_.end(), area,
@@ -86,7 +86,7 @@
   route.closed = now >= lease_expiry_ || epoch_ < 0;
   if (!ruled) return route;  // no migration concerns the area: any engine
   const Rule& rule = it->second;
-  if (!repeatable) {
+  if (!idempotent) {
     route.closed |= rule.loads == Rule::Loads::nowhere;
     route.allowed_engines = &origin_engines_[rule.loads == Rule::Loads::to ? rule.to : rule.from];
   } else {
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -71,7 +71,7 @@
   std::uint32_t slot_of(const std::string& uid) const;                               // kMaxEngineSlots: none
   void retain_engines(const std::function<bool(const std::string& uid)>& is_known);  // forgets all others
 
-  Route route(Time now, TableGroupId area, bool repeatable, std::string_view request_id) const;
+  Route route(Time now, TableGroupId area, bool idempotent, std::string_view request_id) const;
   std::int64_t epoch() const { return epoch_; }
   Time lease_expiry() const { return lease_expiry_; }
   bool enabled() const { return !movable_areas_.empty(); }
--- a/src/standin/deadline.cpp
+++ b/src/standin/deadline.cpp
@@ -156,7 +156,7 @@
   const auto arrive = [&] {
     queues::Arrival a;
     a.query = policy::QueryId{++last};
-    a.member = last % kTeams, a.cls = last % 2, a.told = 0.02;
+    a.member = last % kTeams, a.cls = last % 2, a.estimated_work_s = 0.02;
     a.deadline = now + std::chrono::hours(1), a.wanted = now + seconds(60);
     queues.arrive(now, a);
   };
--- a/src/standin/door_measure.cpp
+++ b/src/standin/door_measure.cpp
@@ -136,7 +136,7 @@
   const auto arrive = [&] {
     door::Arrival a;
     a.query = policy::QueryId{++last};
-    a.member = last % kMembers, a.client = last * 7919, a.told = 0.1;
+    a.member = last % kMembers, a.client = last * 7919, a.estimated_work_s = 0.1;
     a.deadline = now + std::chrono::hours(2);
     if (door.arrive(now, a).ruling == door::Ruling::pass) in.push_back(a.query);
   };
--- a/src/standin/link.cpp
+++ b/src/standin/link.cpp
@@ -9,6 +9,8 @@
 
 #include <vector>
 
+#include "net/listening_socket.h"
+
 namespace yokestream::standin {
 namespace {
 
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -19,7 +19,7 @@
 std::optional<std::size_t> write_until(net::Socket& socket, std::string_view bytes, net::Time deadline) {
   std::size_t written = 0;
   while (written < bytes.size()) {
-    const auto accepted = socket.write_now(bytes.substr(written));
+    const auto accepted = socket.try_write(bytes.substr(written));
     if (!accepted) return std::nullopt;
     written += *accepted;
     if (written == bytes.size()) break;
@@ -87,7 +87,7 @@
 void CancellableSocket::stop() {
   const std::lock_guard lock(mutex_);
   stopped_ = true;
-  if (socket_) socket_->break_off();
+  if (socket_) socket_->abort();
 }
 
 Client::Client(std::vector<config::Endpoint> endpoints, std::uint64_t seed, net::Time::duration max_backoff)
@@ -97,7 +97,7 @@
 net::Socket* Client::connected(net::Time deadline, net::ConnectFailure* failure) {
   char unexpected = 0;  // any byte, or the end, before a request: the connection is of no use
   net::Socket* reusable = connection_.get();
-  if (reusable && !reusable->read_now(&unexpected, 1)) return reusable;
+  if (reusable && !reusable->try_read(&unexpected, 1)) return reusable;
   net::Socket* fresh = connection_.renew();
   failure->why = "client stopped";
   return fresh && fresh->connect(endpoints_.current(), deadline, failure) ? fresh : nullptr;
--- a/src/upgrade/snapshot_handover.cpp
+++ b/src/upgrade/snapshot_handover.cpp
@@ -78,7 +78,7 @@
       names_(names),
       offers_(1) {
   thread_ = net::Thread("hand-over", net::kSmallStack, [this] {
-    while (auto offer = offers_.take())
+    while (auto offer = offers_.pop())
       replace_file(snapshot::encode(std::move(offer->state), names_, offer->taken_at));
   });
 }
@@ -86,7 +86,7 @@
 SnapshotHandover::~SnapshotHandover() { offers_.close(); }
 
 void SnapshotHandover::offer(policy::LearnedState state) {
-  offers_.add(Offer{std::move(state), net::now()}, 1);
+  offers_.try_push(Offer{std::move(state), net::now()}, 1);
 }
 
 void SnapshotHandover::write_now(policy::LearnedState state) const {
--- a/src/upgrade/snapshot_handover.h
+++ b/src/upgrade/snapshot_handover.h
@@ -13,7 +13,8 @@
 #include <string>
 
 #include "dispatch/ports.h"
-#include "net/queue.h"
+#include "net/bounded_work_queue.h"
+#include "net/clock.h"
 #include "net/thread.h"
 #include "snapshot/learned_state_codec.h"
 
@@ -45,8 +46,8 @@
   const std::string path_;
   const std::string temporary_path_;
   const config::RealSettings& names_;
-  net::Outbox<Offer> offers_;  // any thread adds, thread_ removes
-  net::Thread thread_;         // last: it uses the rest
+  net::BoundedWorkQueue<Offer> offers_;  // any thread adds, thread_ removes
+  net::Thread thread_;                   // last: it uses the rest
 };
 
 }  // namespace yokestream::upgrade
--- a/tests/node/door_test.cpp
+++ b/tests/node/door_test.cpp
@@ -207,7 +207,7 @@
   Ruling arrive(std::size_t member, std::uint64_t client, Duration left = 4s) {
     Arrival a;
     a.query = QueryId{++last};
-    a.member = member, a.client = client, a.told = 0.1, a.deadline = now + left;
+    a.member = member, a.client = client, a.estimated_work_s = 0.1, a.deadline = now + left;
     const auto verdict = door.arrive(now, a);
     if (verdict.ruling == Ruling::pass) in.push_back(a.query), ++passed;
     if (verdict.ruling == Ruling::turn_away) turned[last] = verdict.hint;
--- a/tests/node/fleet_test.cpp
+++ b/tests/node/fleet_test.cpp
@@ -30,7 +30,8 @@
   for (const auto& [name, least] :
        {std::pair("calm", 0.95), std::pair("uneven", 0.95), std::pair("herd", 0.93), std::pair("slow", 0.92),
         std::pair("silent", 0.92)}) {
-    CAPTURE(name);
+    const std::string situation = name;
+    CAPTURE(situation);
     const auto figures = play_fleet(fleet_situation(name), 100, 60, 1);
     check_rules(figures);
     check_connections(figures, 100);
--- a/tests/node/manager_random_test.cpp
+++ b/tests/node/manager_random_test.cpp
@@ -135,7 +135,8 @@
     }
     f.pass(5s);
     for (const auto& [call, o] : owed) {
-      CAPTURE(call);
+      const dispatch::CallId call_id = call;
+      CAPTURE(call_id);
       const auto& to = f.to(call, o.session);
       if (!o.left) REQUIRE(to.size() == 1);
       CHECK(to.size() <= 1);
--- a/tests/node/net_peers.h
+++ b/tests/node/net_peers.h
@@ -12,6 +12,7 @@
 #include <vector>
 
 #include "helper.h"
+#include "net/listening_socket.h"
 #include "net/server.h"
 
 namespace yokestream::test {
@@ -38,7 +39,7 @@
     }
     return false;
   }
-  void say(const std::string& bytes) { CHECK(socket.write(bytes) == Socket::Written::all); }
+  void say(const std::string& bytes) { CHECK(socket.write(bytes) == Socket::WriteResult::all); }
   Socket socket;
   std::string came;
 };
--- a/tests/node/operator_test.cpp
+++ b/tests/node/operator_test.cpp
@@ -42,7 +42,8 @@
       {R"({"queues":{"teams":{"a":{"group":"g"},"g":{"owners":["acme"]}}}})", "queues.teams.a.group"},
   };
   for (const auto& [text, key] : cases) {
-    CAPTURE(text);
+    const std::string file = text;
+    CAPTURE(file);
     try {
       decode(text, platform());
       FAIL("taken");
--- a/tests/node/protocol_test.cpp
+++ b/tests/node/protocol_test.cpp
@@ -40,7 +40,7 @@
         CHECK(model[i] == std::pair('c', call->body));
         CHECK(call->fields.at("req") == "ab");
       } else {
-        CHECK(std::holds_alternative<GiveUp>(messages[i]) == (model[i].first == 'g'));
+        CHECK(std::holds_alternative<CancelCall>(messages[i]) == (model[i].first == 'g'));
       }
     }
   }
--- a/tests/node/queues_test.cpp
+++ b/tests/node/queues_test.cpp
@@ -55,7 +55,7 @@
   QueryId arrive(std::size_t member, double cost, std::size_t cls = 0, Duration left = 30s) {
     Arrival a;
     a.query = QueryId{++last};
-    a.member = member, a.cls = cls, a.told = cost;
+    a.member = member, a.cls = cls, a.estimated_work_s = cost;
     a.deadline = now + left, a.wanted = now + left / 2;
     const Verdict v = queues.arrive(now, a);
     came[a.query] = now, team_of[a.query] = queues.team_of(member), costs[a.query] = cost;
--- a/tests/node/service_test.cpp
+++ b/tests/node/service_test.cpp
@@ -146,7 +146,7 @@
     for (int step = 0; step < 400; ++step) {
       const auto chance = steps.below(10);
       if (chance < 4)
-        c.arrive(static_cast<dispatch::CallId>(step + 1), steps.below(2),
+        c.arrive(static_cast<dispatch::CallId>(step) + 1, steps.below(2),
                  500ms + 1ms * static_cast<int>(steps.below(3000)));
       if (chance == 4 && !c.out.empty())
         c.hear(dispatch::EngineConnected{c.only().link}), c.only().state = Core::Sent::written;
--- a/tests/unit/policy/admission_controller_test.cpp
+++ b/tests/unit/policy/admission_controller_test.cpp
@@ -8,7 +8,7 @@
   auto s = make_settings();
   s.classes[0].deadline = 0s;
   try {
-    AdmissionController(s, 1, Time{});
+    const AdmissionController controller(s, 1, Time{});
     FAIL() << "accepted";
   } catch (const std::invalid_argument& e) {
     EXPECT_NE(std::string(e.what()).find("classes[0].deadline"), std::string::npos);
--- a/tests/unit/policy/peer_load_test.cpp
+++ b/tests/unit/policy/peer_load_test.cpp
@@ -72,22 +72,22 @@
   s.may_message = true;
   ManagerHarness peer(s), manager(s);
   const auto arrive = [](ManagerHarness& at, std::uint64_t id, double memory,
-                         std::vector<std::string>* told = nullptr) {
+                         std::vector<std::string>* messages = nullptr) {
     QueryArrived q;
     q.query = QueryId{id};
     q.work = 500ms;
     q.time_left = 8s;
     q.memory_mb = memory;
     for (const Action& a : at.feed(q)) {
-      if (const auto* t = std::get_if<BroadcastToPeers>(&a); t && told) told->push_back(t->payload);
+      if (const auto* t = std::get_if<BroadcastToPeers>(&a); t && messages) messages->push_back(t->payload);
     }
     return q.query;
   };
-  std::vector<std::string> told;
-  const auto on_one = arrive(peer, 1, 500, &told);
-  arrive(peer, 2, 500, &told);
-  ASSERT_EQ(told.size(), 2u);
-  for (const auto& t : told) {
+  std::vector<std::string> messages;
+  const auto on_one = arrive(peer, 1, 500, &messages);
+  arrive(peer, 2, 500, &messages);
+  ASSERT_EQ(messages.size(), 2u);
+  for (const auto& t : messages) {
     EXPECT_LE(t.size(), 7u);  // every byte is paid for by every receiver
     manager.feed(PeerMessage{ManagerId{1}, t});
     for (std::size_t cut = 0; cut < t.size(); ++cut)
--- a/tests/unit/policy/random_days_test.cpp
+++ b/tests/unit/policy/random_days_test.cpp
@@ -68,9 +68,9 @@
     for (const auto& e : entries) {
       judge.listed[e.engine.name] = e;
       if (e.state == EngineState::up)
-        judge.told_off.erase(e.engine.name);
+        judge.removed_at.erase(e.engine.name);
       else
-        judge.told_off.emplace(e.engine.name, front.now);
+        judge.removed_at.emplace(e.engine.name, front.now);
     }
     return EngineList{kind, entries};
   };
@@ -79,7 +79,7 @@
       judge.act(front.now, a);
       if (const auto* send = std::get_if<Send>(&a)) {
         const auto& q = judge.seen.at(send->query);
-        const Time deadline = q.came + q.told.time_left;
+        const Time deadline = q.came + q.request.time_left;
         Duration took = std::chrono::milliseconds(5 + random() % 900);
         if (silent.count(send->engine.name) || random() % 20 == 0)
           took = deadline - front.now;  // the answer is lost
@@ -129,7 +129,7 @@
       if (random() % 2) q.work = std::chrono::milliseconds(1 + random() % 800);
       q.memory_mb = static_cast<double>(random() % 500);
       q.time_left = std::chrono::milliseconds(300 + random() % 5000);
-      judge.seen[q.query].told = q;
+      judge.seen[q.query].request = q;
       judge.seen[q.query].came = front.now;
       judge.taken.push_back(front.now);
       if (s.classes[static_cast<std::size_t>(q.query_class)].ordered && q.order_key)
@@ -186,7 +186,7 @@
       auto& q = judge.seen.at(p.query);
       Outcome o = random() % 5 ? Outcome::served : static_cast<Outcome>(random() % 7);
       if (down.count(p.engine)) o = random() % 2 ? Outcome::unreachable : Outcome::reset;
-      if (front.now >= q.came + q.told.time_left) o = Outcome::timed_out;
+      if (front.now >= q.came + q.request.time_left) o = Outcome::timed_out;
       judge.ended(front.now, p.query, o);
       const bool over = q.finals > 0 || q.left;
       if (o == Outcome::served && !over) ++q.finals;
@@ -194,7 +194,7 @@
           p.query, p.attempt, {p.engine}, o, front.now - p.sent, over || o == Outcome::served, {}}));
     }
     for (const auto& [id, q] : judge.seen) {
-      if (front.now > q.came + q.told.time_left + 20ms)
+      if (front.now > q.came + q.request.time_left + 20ms)
         judge.need(q.finals == 1 || q.left, "not answered in time");
     }
   }
@@ -211,7 +211,7 @@
   EXPECT_GT(totals.again, 500u);
 }
 
-TEST(RandomDays, TheJudgeFindsAControllerThatIsNotToldOfDrains) {
+TEST(RandomDays, TheJudgeFindsAControllerThatIsNotNotifiedOfDrains) {
   Totals totals;
   std::set<std::string> kinds;
   for (unsigned seed = 1; seed <= 10; ++seed) {
--- a/tests/unit/policy/rule_judge.h
+++ b/tests/unit/policy/rule_judge.h
@@ -13,7 +13,7 @@
 struct RuleJudge {
   explicit RuleJudge(const Settings& settings) : s(settings) {}
   struct Seen {
-    QueryArrived told;
+    QueryArrived request;
     Time came;
     int finals = 0;
     bool left = false;
@@ -24,7 +24,7 @@
   const Settings s;
   std::map<QueryId, Seen> seen;
   std::map<std::string, EngineEntry> listed;
-  std::map<std::string, Time> told_off;
+  std::map<std::string, Time> removed_at;
   std::vector<std::string> broken;
   std::deque<Time> taken, extra;
   std::map<OrderKey, std::vector<QueryId>> lines;
@@ -41,7 +41,7 @@
     if (const auto* refuse = std::get_if<Reject>(&action)) {
       auto& q = seen.at(refuse->query);
       need(q.finals++ == 0 && !q.left, "two final answers");
-      const auto& c = s.classes[static_cast<std::size_t>(q.told.query_class)];
+      const auto& c = s.classes[static_cast<std::size_t>(q.request.query_class)];
       bool may_have = q.out() > 0;
       for (const Outcome o : q.ends) may_have |= ran(o);
       need(!may_have || c.idempotency == Idempotency::idempotent ||
@@ -56,12 +56,13 @@
   }
   void on_send(Time now, const Send& send) {
     auto& q = seen.at(send.query);
-    const auto& c = s.classes[static_cast<std::size_t>(q.told.query_class)];
+    const auto& c = s.classes[static_cast<std::size_t>(q.request.query_class)];
     const auto& e = listed.at(send.engine.name);
     need(q.finals == 0 && !q.left, "sent after its end");
     need(q.out() == 0, "two attempts at once");
     need(q.tries.size() < s.max_attempts, "too many attempts");
-    if (told_off.count(send.engine.name)) need(now - told_off[send.engine.name] <= s.drain_grace, "drain");
+    if (removed_at.count(send.engine.name))
+      need(now - removed_at[send.engine.name] <= s.drain_grace, "drain");
     if (!c.allowed_zones.empty())
       need(std::count(c.allowed_zones.begin(), c.allowed_zones.end(), e.zone), "placement");
     if (!c.allowed_kinds.empty())
@@ -77,8 +78,8 @@
       if (c.deduplication_scope == DeduplicationScope::zone)
         need(first.zone == e.zone, "keyed outside its zone");
     }
-    if (c.ordered && q.told.order_key) {
-      const auto key = *q.told.order_key;
+    if (c.ordered && q.request.order_key) {
+      const auto key = *q.request.order_key;
       for (const QueryId before : lines[key]) {
         if (before == send.query) break;
         const auto& b = seen.at(before);
@@ -103,10 +104,10 @@
   void ended(Time now, QueryId id, Outcome o) {
     auto& q = seen.at(id);
     q.ends.push_back(o);
-    const auto& c = s.classes[static_cast<std::size_t>(q.told.query_class)];
-    if (c.ordered && q.told.order_key &&
+    const auto& c = s.classes[static_cast<std::size_t>(q.request.query_class)];
+    if (c.ordered && q.request.order_key &&
         (o == Outcome::timed_out || o == Outcome::reset || o == Outcome::cancelled)) {
-      quiet_until[*q.told.order_key] = {now + s.order_pause, id};
+      quiet_until[*q.request.order_key] = {now + s.order_pause, id};
     }
   }
 };
--- a/tests/unit/policy/slow_start_budget_test.cpp
+++ b/tests/unit/policy/slow_start_budget_test.cpp
@@ -29,7 +29,7 @@
 struct Case {
   std::size_t managers = 1;
   std::size_t processes = 1;  // of each manager: two during an upgrade
-  double told_late = 0;       // part of the managers that hear of the start 3 s late
+  double notified_late = 0;   // part of the managers that hear of the start 3 s late
 };
 
 struct Result {
@@ -52,21 +52,21 @@
     s.manager_count = static_cast<std::uint32_t>(play.managers);
     s.reports_cost = true;
     for (std::size_t i = 0; i < play.managers * play.processes; ++i) {
-      fronts_.push_back(std::make_unique<ManagerHarness>(s, std::vector<EngineEntry>{}, seed * 1000 + i));
+      managers_.push_back(std::make_unique<ManagerHarness>(s, std::vector<EngineEntry>{}, seed * 1000 + i));
       if (play.processes > 1)
-        fronts_.back()->controller().set_manager_count(static_cast<double>(play.managers * play.processes));
+        managers_.back()->controller().set_manager_count(static_cast<double>(play.managers * play.processes));
     }
-    start_ = fronts_.front()->now;
+    start_ = managers_.front()->now;
   }
 
   Result run() {
     const auto steps = static_cast<std::size_t>(terms_.cold / kStep);
     for (std::size_t step = 0; step < steps; ++step) {
       if (step == 0) tell(0, late());
-      if (step == static_cast<std::size_t>(3s / kStep)) tell(late(), fronts_.size());
+      if (step == static_cast<std::size_t>(3s / kStep)) tell(late(), managers_.size());
       arrive();
-      for (auto& front : fronts_) front->pass(kStep);
-      for (std::size_t i = 0; i < fronts_.size(); ++i) take_sends(i);
+      for (auto& front : managers_) front->pass(kStep);
+      for (std::size_t i = 0; i < managers_.size(); ++i) take_sends(i);
       now_ += kStep;
     }
     result_.used = sent_ / could();
@@ -75,12 +75,13 @@
 
  private:
   std::size_t late() const {
-    return fronts_.size() - static_cast<std::size_t>(play_.told_late * static_cast<double>(fronts_.size()));
+    return managers_.size() -
+           static_cast<std::size_t>(play_.notified_late * static_cast<double>(managers_.size()));
   }
   void tell(std::size_t from, std::size_t until) {
     EngineEntry entry = engine("cold");
     entry.start_time = start_;
-    for (std::size_t i = from; i < until; ++i) fronts_[i]->list({entry});
+    for (std::size_t i = from; i < until; ++i) managers_[i]->list({entry});
   }
   double uniform() { return std::uniform_real_distribution<double>(0, 1)(draw_); }
   double work() {  // a log-normal of this mean: many above it
@@ -92,7 +93,7 @@
     const double mean = 2 * terms_.cores / terms_.mean_work_s * std::chrono::duration<double>(kStep).count();
     for (int n = std::poisson_distribution<int>(mean)(draw_); n > 0; --n) {
       ManagerHarness& front =
-          *fronts_[static_cast<std::size_t>(uniform() * static_cast<double>(fronts_.size()))];
+          *managers_[static_cast<std::size_t>(uniform() * static_cast<double>(managers_.size()))];
       const double own = work();
       works_.push_back(own);
       front.arrive(works_.size(), 60s, Duration(static_cast<Duration::rep>(own * 1e9)));
@@ -100,7 +101,7 @@
   }
   // Answered at once, so that room at the engine holds nobody back: only the budget does.
   void take_sends(std::size_t i) {
-    ManagerHarness& front = *fronts_[i];
+    ManagerHarness& front = *managers_[i];
     while (!front.order.empty()) {
       const QueryId query = front.order.back();
       front.order.pop_back();
@@ -136,7 +137,7 @@
   const Terms& terms_;
   const Case play_;
   std::mt19937 draw_;
-  std::vector<std::unique_ptr<ManagerHarness>> fronts_;
+  std::vector<std::unique_ptr<ManagerHarness>> managers_;
   std::vector<double> works_;
   Time start_{};
   Duration now_{};
@@ -157,7 +158,7 @@
     }
     std::printf(
         "%4zu managers x %zu, %2.0f%% told late, %-13s: worst window %.2f of the budget, used %.2f to %.2f\n",
-        play.managers, play.processes, 100 * play.told_late, terms.name, worst, least, mean);
+        play.managers, play.processes, 100 * play.notified_late, terms.name, worst, least, mean);
     EXPECT_LE(worst, 1.0) << terms.name;
     EXPECT_GE(least, least_used) << terms.name;
   }
--- a/tests/unit/policy/slow_start_rules_test.cpp
+++ b/tests/unit/policy/slow_start_rules_test.cpp
@@ -41,16 +41,16 @@
   s.manager_count = 200;
   s.kinds = {{16, 0}};
   auto a = engine("a");
-  std::vector<std::unique_ptr<ManagerHarness>> fronts;
+  std::vector<std::unique_ptr<ManagerHarness>> managers;
   for (std::uint64_t i = 0; i < s.manager_count; ++i) {
-    fronts.push_back(std::make_unique<ManagerHarness>(s, std::vector<EngineEntry>{}, i + 1));
-    a.start_time = fronts[i]->now;
-    fronts[i]->list({a});
+    managers.push_back(std::make_unique<ManagerHarness>(s, std::vector<EngineEntry>{}, i + 1));
+    a.start_time = managers[i]->now;
+    managers[i]->list({a});
   }
-  std::vector<std::size_t> by_tick;  // sends of all fronts together
+  std::vector<std::size_t> by_tick;  // sends of all managers together
   for (std::uint64_t tick = 0; tick < 100; ++tick) {
     std::size_t sends = 0;
-    for (auto& f : fronts) {
+    for (auto& f : managers) {
       const auto before = f->order.size();
       if (tick % 20 == 0) f->arrive(tick + 1, 10s, 100ms);
       f->pass(20ms);
--- a/tests/unit/policy/table_group_locks_test.cpp
+++ b/tests/unit/policy/table_group_locks_test.cpp
@@ -27,16 +27,16 @@
   s.may_message = true;
   ManagerHarness peer(s), manager(s);
   std::string begin;
-  QueryArrived told;
-  told.query = QueryId{1};
-  told.query_class = ClassId{1};
-  told.work = 2s;
-  told.time_left = 20s;
-  for (const Action& a : peer.feed(told)) {
+  QueryArrived request;
+  announced.query = QueryId{1};
+  announced.query_class = ClassId{1};
+  announced.work = 2s;
+  announced.time_left = 20s;
+  for (const Action& a : peer.feed(announced)) {
     if (const auto* t = std::get_if<BroadcastToPeers>(&a)) begin = t->payload;
   }
   ASSERT_FALSE(begin.empty());
-  const std::string where = peer.sends[told.query].front();
+  const std::string where = peer.sends[announced.query].front();
   manager.feed(PeerMessage{ManagerId{1}, begin});
   manager.feed(PeerMessage{ManagerId{1}, "no such thing"});
   const auto q = manager.arrive(2);
