--- a/src/dispatch/route_guard.h
+++ b/src/dispatch/route_guard.h
@@ -10,8 +10,8 @@
 
 #include "config/config.h"
 #include "dispatch/request.h"
-#include "routing/router.h"
 #include "routing/outcome_tally.h"
+#include "routing/router.h"
 
 namespace yokestream::dispatch {
 
--- a/src/net/client_session.cpp
+++ b/src/net/client_session.cpp
@@ -23,8 +23,8 @@
 }  // namespace
 
 ClientSession::ClientSession(dispatch::SessionId id, Fd fd, dispatch::Reservation connection_slot,
-                             const config::RealSettings& settings, dispatch::Budget& budget, DispatcherQueue& inbox,
-                             ReaderPool& reader_pool, dispatch::Log& log)
+                             const config::RealSettings& settings, dispatch::Budget& budget,
+                             DispatcherQueue& inbox, ReaderPool& reader_pool, dispatch::Log& log)
     : id_(id),
       connection_slot_(std::move(connection_slot)),
       settings_(settings),
--- a/src/net/coordination_thread.cpp
+++ b/src/net/coordination_thread.cpp
@@ -27,7 +27,8 @@
 
 }  // namespace
 
-CoordinationThread::CoordinationThread(const config::Config& config, DispatcherQueue& inbox, dispatch::Log& log)
+CoordinationThread::CoordinationThread(const config::Config& config, DispatcherQueue& inbox,
+                                       dispatch::Log& log)
     : inbox_(inbox),
       log_(log),
       migration_task_(make_migration_task(config)),
--- a/src/net/engine_connection.cpp
+++ b/src/net/engine_connection.cpp
@@ -16,7 +16,8 @@
 
 EngineConnection::EngineConnection(dispatch::EngineConnectionId id, const config::Endpoint& endpoint,
                                    Time connect_deadline, const std::vector<std::string>& report_fields,
-                                   DispatcherQueue& inbox, Poller& slow_writer_poller, figures::Figures& figures)
+                                   DispatcherQueue& inbox, Poller& slow_writer_poller,
+                                   figures::Figures& figures)
     : id_(id),
       connect_deadline_(connect_deadline),
       inbox_(inbox),
--- a/src/net/engine_connection.h
+++ b/src/net/engine_connection.h
@@ -23,8 +23,8 @@
   // Starts to connect, until `connect_deadline`. Never throws and never reports at once: the engine poller's
   // calls report the outcome as an event.
   EngineConnection(dispatch::EngineConnectionId id, const config::Endpoint& endpoint, Time connect_deadline,
-                   const std::vector<std::string>& report_fields, DispatcherQueue& inbox, Poller& slow_writer_poller,
-                   figures::Figures& figures);
+                   const std::vector<std::string>& report_fields, DispatcherQueue& inbox,
+                   Poller& slow_writer_poller, figures::Figures& figures);
   ~EngineConnection() override;  // aborts the connection
 
   // For the core thread.
--- a/src/net/engine_port_adapter.cpp
+++ b/src/net/engine_port_adapter.cpp
@@ -26,7 +26,7 @@
 void EnginePortAdapter::connect(dispatch::EngineConnectionId id, const config::Endpoint& endpoint,
                                 Time deadline) {
   const auto connection = std::make_shared<EngineConnection>(id, endpoint, deadline, settings_.report_fields,
-                                                       events_, writer_, dispatcher_.metrics());
+                                                             events_, writer_, dispatcher_.metrics());
   connections_.emplace(id, connection);
   engine_poller_.add(connection);
 }
--- a/src/net/fleet_state_applier.h
+++ b/src/net/fleet_state_applier.h
@@ -8,8 +8,8 @@
 
 #include "coordination/fleet_member.h"
 #include "dispatch/dispatcher.h"
-#include "net/events.h"
 #include "net/coordination_thread.h"
+#include "net/events.h"
 
 namespace yokestream::net {
 
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -22,10 +22,10 @@
 #include "dispatch/dispatcher.h"
 #include "net/accept_gate.h"
 #include "net/client_port_adapter.h"
+#include "net/coordination_thread.h"
 #include "net/dispatcher_loop.h"
 #include "net/engine_port_adapter.h"
 #include "net/events.h"
-#include "net/coordination_thread.h"
 #include "net/fleet_state_applier.h"
 #include "net/listener.h"
 #include "net/poller.h"
@@ -71,7 +71,7 @@
   AcceptGate accept_gate_;                              // any thread
   std::unique_ptr<Listener> listener_;                  // the dispatcher's thread retires it
   std::optional<upgrade::UpgradeCoordinator> upgrade_;  // where processes may share the listener
-  std::optional<CoordinationThread> coordination_;             // where the fleet shares a store
+  std::optional<CoordinationThread> coordination_;      // where the fleet shares a store
   std::optional<FleetStateApplier> fleet_state_;        // the same; the dispatcher's thread only
   std::unique_ptr<admin::AdminListener> admin_;         // reads dispatcher_'s metrics; opens accept_gate_
   std::unique_ptr<DispatcherLoop> dispatcher_loop_;     // last: it uses the rest
--- a/tests/unit/policy/table_group_locks_test.cpp
+++ b/tests/unit/policy/table_group_locks_test.cpp
@@ -27,7 +27,7 @@
   s.may_message = true;
   ManagerHarness peer(s), manager(s);
   std::string begin;
-  QueryArrived request;
+  QueryArrived announced;
   announced.query = QueryId{1};
   announced.query_class = ClassId{1};
   announced.work = 2s;
