--- a/src/dispatch/policy_event_queue.h
+++ b/src/dispatch/policy_event_queue.h
@@ -5,6 +5,7 @@
 #include <deque>
 #include <optional>
 #include <utility>
+#include <variant>
 
 #include "yokestream/policy/admission_controller.h"
 
@@ -12,7 +13,11 @@
 
 class PolicyEventQueue {
  public:
-  void push(policy::Event event) { events_.push_back(std::move(event)); }
+  // Built in its place: a move of a temporary variant makes g++ warn of alternatives that it does not hold.
+  template <class E>
+  void push(E event) {
+    events_.emplace_back(std::in_place_type<E>, std::move(event));
+  }
   // The oldest event, removed; nullopt: none is left.
   std::optional<policy::Event> pop() {
     if (events_.empty()) return std::nullopt;
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -16,7 +16,7 @@
   Time now{};
   AdmissionController controller(settings, 1, now);
   std::vector<Action> actions;
-  controller.handle(now, EngineList{ListKind::full, {EngineEntry{.engine = {"one"}}}}, actions);
+  controller.handle(now, EngineList{EngineListKind::full, {EngineEntry{.engine = {"one"}}}}, actions);
   QueryArrived query;
   query.query = QueryId{1};
   query.work = 10ms;
@@ -26,7 +26,7 @@
     if (const auto* send = std::get_if<Send>(&action)) {
       std::printf("send query 1 to %s\n", send->engine.name.c_str());
       controller.handle(now + 10ms,
-                        AttemptEnded{QueryId{1}, AttemptNo{0}, send->engine, Outcome::served, 10ms, true, {}},
+                        AttemptEnded{QueryId{1}, AttemptNumber{0}, send->engine, Outcome::served, 10ms, true, {}},
                         actions);
       return 0;
     }
