--- a/src/coordination/fleet_member.cpp
+++ b/src/coordination/fleet_member.cpp
@@ -28,37 +28,38 @@
 
 Time FleetMember::due_at(RequestSource source) const {
   const bool serving = !leaving_ && format_known_;
+  const bool resigned = leaving_ && election_.has_resigned();
+  const bool leads = serving && election_.is_leader() && view_.is_loaded();
   switch (source) {
     case RequestSource::session:
-      return leaving_ && election_.has_resigned() ? Time::max() : session_.next_due();
+      return resigned ? Time::max() : session_.next_due();
     case RequestSource::format:
       return format_known_ || leaving_ ? Time::max() : retry_at_;
     case RequestSource::view:
-      // Failure: the connection of a watch dies without being closed.
-      // Symptom: no events arrive any more, and no error either.
-      // Guard: the view is loaded again after a progress_timeout.
-      if (!serving) return Time::max();
-      return view_.is_loaded() ? std::max(retry_at_, view_loaded_at_ + settings_.progress_timeout)
-                               : retry_at_;
+      return serving ? view_due_at() : Time::max();
     case RequestSource::publish_record:
       return serving ? record_due_at() : Time::max();
     case RequestSource::election:
       return serving || leaving_ ? std::max(retry_at_, election_.next_due()) : Time::max();
-    case RequestSource::publish_state: {
-      const bool has_writes = has_drafts() || progress_due_;
-      return serving && election_.is_leader() && has_writes && view_.is_loaded() ? retry_at_ : Time::max();
-    }
+    case RequestSource::publish_state:
+      return leads && (has_drafts() || progress_due_) ? retry_at_ : Time::max();
     case RequestSource::inspect:
-      return serving && election_.is_leader() && view_.is_loaded() ? std::max(retry_at_, inspect_at_)
-                                                                   : Time::max();
+      return leads ? std::max(retry_at_, inspect_at_) : Time::max();
     case RequestSource::revoke_lease:
-      return leaving_ && election_.has_resigned() && !lease_ended_ ? retry_at_ : Time::max();
+      return resigned && !lease_ended_ ? retry_at_ : Time::max();
     case RequestSource::none:
       break;
   }
   return Time::max();
 }
 
+// Failure: the connection of a watch dies without being closed.
+// Symptom: no events arrive any more, and no error either.
+// Guard: the view is loaded again after a progress_timeout.
+Time FleetMember::view_due_at() const {
+  return view_.is_loaded() ? std::max(retry_at_, view_loaded_at_ + settings_.progress_timeout) : retry_at_;
+}
+
 Time FleetMember::record_due_at() const {
   if (published_record_ == own_record_) return Time::max();
   if (!published_record_) return retry_at_;
--- a/src/coordination/fleet_member.h
+++ b/src/coordination/fleet_member.h
@@ -94,6 +94,7 @@
   RequestSource next_source(Time now) const;
   Time due_at(RequestSource source) const;
   Time record_due_at() const;
+  Time view_due_at() const;
   store::Request build_request(RequestSource source, Time now) const;
   store::Txn build_state_write() const;
   void on_completed(Time now, const store::Completed& completed);
