--- a/src/migration/check_plan.cpp
+++ b/src/migration/check_plan.cpp
@@ -52,9 +52,9 @@
 }
 
 bool grows(const Stage& before, const Stage& stage) {
-  const bool shrinks = stage.edge_share < before.edge_share || stage.traffic_share < before.traffic_share;
+  const bool keeps = stage.edge_share >= before.edge_share && stage.traffic_share >= before.traffic_share;
   const bool larger = stage.edge_share > before.edge_share || stage.traffic_share > before.traffic_share;
-  return !shrinks && larger;
+  return keeps && larger;
 }
 
 void check_stages(const Plan& plan, Problems& problems) {
