--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -25,9 +25,9 @@
   for (const Action& action : actions) {
     if (const auto* send = std::get_if<Send>(&action)) {
       std::printf("send query 1 to %s\n", send->engine.name.c_str());
-      controller.handle(now + 10ms,
-                        AttemptEnded{QueryId{1}, AttemptNumber{0}, send->engine, Outcome::served, 10ms, true, {}},
-                        actions);
+      controller.handle(
+          now + 10ms,
+          AttemptEnded{QueryId{1}, AttemptNumber{0}, send->engine, Outcome::served, 10ms, true, {}}, actions);
       return 0;
     }
   }
