--- a/src/policy/engine_capacity.cpp
+++ b/src/policy/engine_capacity.cpp
@@ -55,14 +55,18 @@
          engine.own.threads - peer_threads(engine, now);
 }
 
-bool EngineCapacity::has_capacity_beside_peers(const Query& query, const Engine& engine, Time now) const {
+bool EngineCapacity::fits_memory_beside_peers(const Query& query, const Engine& engine, Time now) const {
+  if (engine.memory_mb <= 0) return true;
   const double ratio = in_.peer_load.memory_is_reported() ? kMemoryRatioReported : kMemoryRatioUnreported;
   const double memory_ratio = ratio + (kOwnMemoryRatio - ratio) * in_.load_share.value();
   const double peer_memory_mb =
       in_.peer_load.memory_mb(engine.peers, facts(engine, now), in_.workload.unannounced());
-  if (engine.memory_mb > 0 && engine.own.memory_mb + peer_memory_mb + memory_grant_mb(query, engine) >
-                                  memory_ratio * engine.memory_mb)
-    return false;
+  return !(engine.own.memory_mb + peer_memory_mb + memory_grant_mb(query, engine) >
+           memory_ratio * engine.memory_mb);
+}
+
+bool EngineCapacity::has_capacity_beside_peers(const Query& query, const Engine& engine, Time now) const {
+  if (!fits_memory_beside_peers(query, engine, now)) return false;
   return engine.own.threads + peer_threads(engine, now) + class_of(query).threads <=
          saturation_threads_per_core(query) * engine.cores * engine.slow_start.warm_fraction;
 }
--- a/src/policy/engine_capacity.h
+++ b/src/policy/engine_capacity.h
@@ -43,6 +43,7 @@
   const ClassSettings& class_of(const Query& query) const {
     return in_.settings.classes[index_of(query.request.query_class)];
   }
+  bool fits_memory_beside_peers(const Query& query, const Engine& engine, Time now) const;
   bool has_capacity_beside_peers(const Query& query, const Engine& engine, Time now) const;
   double saturation_threads_per_core(const Query& query) const;
 
