--- a/src/planner/planner.cpp
+++ b/src/budget_planner/budget_planner.cpp
@@ -1,4 +1,4 @@
-#include "planner/planner.h"
+#include "budget_planner/budget_planner.h"
 
 #include <fmt/format.h>
 #include <glpk.h>
@@ -9,7 +9,7 @@
 
 #include "base/csv.h"
 
-namespace yokestream::planner {
+namespace yokestream::budget_planner {
 namespace {
 
 constexpr double kFloorPrice = 1e6;  // worth a missing engine-second: more than any request's
@@ -52,7 +52,7 @@
   std::unique_ptr<glp_prob, Delete> problem_;
 };
 
-std::vector<std::size_t> with_teams_of(const std::vector<queues::Team>& teams, std::size_t node) {
+std::vector<std::size_t> with_teams_of(const std::vector<scheduler::Team>& teams, std::size_t node) {
   std::vector<std::size_t> out{node};
   for (std::size_t i = 0; i < teams.size(); ++i) {
     if (!teams[i].group.empty() && teams[i].group == teams[node].name) out.push_back(i);
@@ -157,4 +157,4 @@
   return out + "    },\n  },\n}\n";
 }
 
-}  // namespace yokestream::planner
+}  // namespace yokestream::budget_planner
--- a/src/planner/planner.h
+++ b/src/budget_planner/budget_planner.h
@@ -13,9 +13,9 @@
 #include <string>
 #include <vector>
 
-#include "queues/settings.h"
+#include "scheduler/settings.h"
 
-namespace yokestream::planner {
+namespace yokestream::budget_planner {
 
 struct Expected {  // a stream of requests
   std::size_t team = 0, cls = 0;
@@ -25,7 +25,7 @@
 struct Question {
   double cores = 1;   // that the engines have
   double use = 0.85;  // part of them that work gets; 0 to 1
-  std::vector<queues::Team> teams;
+  std::vector<scheduler::Team> teams;
   std::vector<double> worth;  // by class
   std::vector<Expected> traffic;
 };
@@ -48,4 +48,4 @@
 // The proposal as a part of an operator file, Jsonnet; floors that cannot be met are told in comments.
 std::string to_jsonnet(const Question& question, const Proposal& proposal, policy::Duration span);
 
-}  // namespace yokestream::planner
+}  // namespace yokestream::budget_planner
--- a/src/cli/plan.cpp
+++ b/src/cli/plan.cpp
@@ -3,8 +3,8 @@
 #include <iostream>
 
 #include "base/csv.h"
+#include "budget_planner/budget_planner.h"
 #include "operator/operator_file.h"
-#include "planner/planner.h"
 
 namespace {
 
@@ -14,18 +14,18 @@
          double use) {
   const auto both = operator_file::read_both(config, operators);
   const std::string text = csv::read_file(traffic);
-  planner::Question question;
+  budget_planner::Question question;
   question.cores = cores, question.use = use;
   question.teams = both.operators.queues.teams;
   for (const auto& cls : both.config.settings.classes) question.worth.push_back(cls.priority_weight);
   try {
-    question.traffic = planner::read_expected(text, both.config.real.tenants, both.config.real.classes,
-                                              both.operators.queues.team_of);
+    question.traffic = budget_planner::read_expected(text, both.config.real.tenants, both.config.real.classes,
+                                                     both.operators.queues.team_of);
   } catch (const std::runtime_error& problem) {
     throw config::ConfigError(traffic, problem.what());
   }
-  const auto proposal = planner::propose(question);
-  std::cout << planner::to_jsonnet(question, proposal, both.operators.queues.span);
+  const auto proposal = budget_planner::propose(question);
+  std::cout << budget_planner::to_jsonnet(question, proposal, both.operators.queues.span);
   return proposal.missing > 1e-9 ? 2 : 0;
 }
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -9,8 +9,8 @@
 #include "config/members.h"
 #include "config/settings.h"
 #include "coordination/settings.h"
-#include "door/settings.h"
-#include "queues/settings.h"
+#include "scheduler/settings.h"
+#include "throttle/settings.h"
 
 namespace yokestream::config {
 
@@ -46,8 +46,8 @@
   std::vector<MembersEvent> known;
   policy::Settings settings;
   RealSettings real;
-  door::Settings door;           // of the operator file; off without one
-  queues::Settings queues;       // the same
+  throttle::Settings door;       // of the operator file; off without one
+  scheduler::Settings queues;    // the same
   coordination::Settings fleet;  // the same
 };
 
--- a/src/dispatch/admission_stages.cpp
+++ b/src/dispatch/admission_stages.cpp
@@ -14,8 +14,8 @@
 constexpr Duration kLogInterval = std::chrono::seconds(10);
 
 // Where the scheduler stands behind the throttle, that one admits more than runs: the scheduler queues it.
-door::Settings throttle_settings(const config::Config& config) {
-  door::Settings settings = config.door;
+throttle::Settings throttle_settings(const config::Config& config) {
+  throttle::Settings settings = config.door;
   if (config.queues.on) settings.room = config.queues.room;
   return settings;
 }
@@ -33,14 +33,14 @@
   return config_.settings.classes[static_cast<std::size_t>(request.query_class)];
 }
 
-void AdmissionStages::configure_throttle(const door::Settings& settings) {
+void AdmissionStages::configure_throttle(const throttle::Settings& settings) {
   if (!throttle_ || !settings.on) return;
-  door::Settings with_room = settings;
+  throttle::Settings with_room = settings;
   with_room.room = throttle_->room();
   throttle_->configure(with_room);
 }
 
-void AdmissionStages::configure_scheduler(Time now, const queues::Settings& settings) {
+void AdmissionStages::configure_scheduler(Time now, const scheduler::Settings& settings) {
   if (scheduler_ && settings.on) scheduler_->configure(now, settings);
 }
 
@@ -49,9 +49,9 @@
   if (scheduler_) scheduler_->cores(now, cores);
 }
 
-door::Verdict AdmissionStages::offer_to_throttle(Time now, QueryId query, const RequestReceived& request,
-                                                 std::uint64_t origin) {
-  door::Arrival arrival;
+throttle::Verdict AdmissionStages::offer_to_throttle(Time now, QueryId query, const RequestReceived& request,
+                                                     std::uint64_t origin) {
+  throttle::Arrival arrival;
   arrival.query = query;
   arrival.member = static_cast<std::size_t>(request.tenant);
   arrival.cls = static_cast<std::size_t>(request.query_class);
@@ -62,21 +62,21 @@
   return throttle_->arrive(now, arrival);
 }
 
-queues::Verdict AdmissionStages::offer_to_scheduler(Time now, QueryId query, const RequestReceived& request,
-                                                    double cost_s) {
+scheduler::Verdict AdmissionStages::offer_to_scheduler(Time now, QueryId query,
+                                                       const RequestReceived& request, double cost_s) {
   return scheduler_->arrive(now, scheduler_arrival(now, query, request, cost_s));
 }
 
-queues::Quote AdmissionStages::quote(Time now, const RequestReceived& request) {
+scheduler::Quote AdmissionStages::quote(Time now, const RequestReceived& request) {
   return scheduler_->quote(now, scheduler_arrival(now, {}, request, 0));
 }
 
-queues::Arrival AdmissionStages::scheduler_arrival(Time now, QueryId query, const RequestReceived& request,
-                                                   double cost_s) const {
+scheduler::Arrival AdmissionStages::scheduler_arrival(Time now, QueryId query, const RequestReceived& request,
+                                                      double cost_s) const {
   const policy::ClassSettings& cls = class_of(request);
   const double reported_s = request.work ? seconds_of(*request.work) : 0;
   const double estimate_s = cost_s > 0 ? cost_s : reported_s;
-  queues::Arrival arrival;
+  scheduler::Arrival arrival;
   arrival.query = query;
   arrival.member = static_cast<std::size_t>(request.tenant);
   arrival.cls = static_cast<std::size_t>(request.query_class);
@@ -89,11 +89,11 @@
   return arrival;
 }
 
-std::optional<door::Moved> AdmissionStages::next_from_throttle(Time now) {
+std::optional<throttle::Moved> AdmissionStages::next_from_throttle(Time now) {
   return throttle_ ? throttle_->next(now) : std::nullopt;
 }
 
-std::optional<queues::Moved> AdmissionStages::next_from_scheduler(Time now) {
+std::optional<scheduler::Moved> AdmissionStages::next_from_scheduler(Time now) {
   return scheduler_ ? scheduler_->next(now) : std::nullopt;
 }
 
@@ -117,20 +117,20 @@
   return scheduler_ ? scheduler_->wish(now, query, priority) : std::optional(priority);
 }
 
-std::optional<queues::Bands::Change> AdmissionStages::next_band_change(Time now) {
+std::optional<scheduler::Bands::Change> AdmissionStages::next_band_change(Time now) {
   return scheduler_ ? scheduler_->next_band(now) : std::nullopt;
 }
 
-void AdmissionStages::on_request_finished(Time now, QueryId query, const door::Outcome& outcome) {
+void AdmissionStages::on_request_finished(Time now, QueryId query, const throttle::Outcome& outcome) {
   if (throttle_) throttle_->over(now, query, outcome);
   if (scheduler_) scheduler_->over(now, query, outcome);
 }
 
-std::optional<door::Figures> AdmissionStages::throttle_metrics() const {
+std::optional<throttle::Figures> AdmissionStages::throttle_metrics() const {
   return throttle_ ? std::optional(throttle_->figures()) : std::nullopt;
 }
 
-std::optional<queues::Figures> AdmissionStages::scheduler_metrics() const {
+std::optional<scheduler::Figures> AdmissionStages::scheduler_metrics() const {
   return scheduler_ ? std::optional(scheduler_->figures()) : std::nullopt;
 }
 
@@ -143,7 +143,7 @@
 
 // The keys are those of the operators' pages.
 void AdmissionStages::log_throttle_metrics() {
-  const door::Figures f = throttle_->figures();
+  const throttle::Figures f = throttle_->figures();
   if (std::exchange(logged_rejections_, f.turned_away) == f.turned_away) return;
   std::ostringstream line;
   line.precision(3);
@@ -156,7 +156,7 @@
 }
 
 void AdmissionStages::log_scheduler_metrics() {
-  const queues::Figures f = scheduler_->figures();
+  const scheduler::Figures f = scheduler_->figures();
   const std::uint64_t waits = f.waited + f.turned_away;
   if (std::exchange(logged_waits_, waits) == waits) return;
   std::ostringstream line;
--- a/src/dispatch/admission_stages.h
+++ b/src/dispatch/admission_stages.h
@@ -12,8 +12,8 @@
 
 #include "config/config.h"
 #include "dispatch/ports.h"
-#include "door/door.h"
-#include "queues/queues.h"
+#include "scheduler/scheduler.h"
+#include "throttle/throttle.h"
 
 namespace yokestream::dispatch {
 
@@ -24,23 +24,23 @@
   bool enabled() const { return throttle_ || scheduler_; }
   bool has_throttle() const { return throttle_.has_value(); }
   bool has_scheduler() const { return scheduler_.has_value(); }
-  const queues::Queues* scheduler() const { return scheduler_ ? &*scheduler_ : nullptr; }
+  const scheduler::Scheduler* scheduler() const { return scheduler_ ? &*scheduler_ : nullptr; }
 
   // Settings that a reload may change; ignored where the stage is off.
-  void configure_throttle(const door::Settings& settings);
-  void configure_scheduler(Time now, const queues::Settings& settings);
+  void configure_throttle(const throttle::Settings& settings);
+  void configure_scheduler(Time now, const scheduler::Settings& settings);
   void set_cores(Time now, double cores);  // this manager's part of the engines
 
   // has_throttle() only. `origin`: the client's address as a number.
-  door::Verdict offer_to_throttle(Time now, policy::QueryId query, const RequestReceived& request,
-                                  std::uint64_t origin);
+  throttle::Verdict offer_to_throttle(Time now, policy::QueryId query, const RequestReceived& request,
+                                      std::uint64_t origin);
   // has_scheduler() only. `cost_s`: core seconds by the throttle's estimate; 0: none.
-  queues::Verdict offer_to_scheduler(Time now, policy::QueryId query, const RequestReceived& request,
-                                     double cost_s);
-  queues::Quote quote(Time now, const RequestReceived& request);  // has_scheduler() only
+  scheduler::Verdict offer_to_scheduler(Time now, policy::QueryId query, const RequestReceived& request,
+                                        double cost_s);
+  scheduler::Quote quote(Time now, const RequestReceived& request);  // has_scheduler() only
   // The next waiting request that is admitted or rejected; nullopt: none is.
-  std::optional<door::Moved> next_from_throttle(Time now);
-  std::optional<queues::Moved> next_from_scheduler(Time now);
+  std::optional<throttle::Moved> next_from_throttle(Time now);
+  std::optional<scheduler::Moved> next_from_scheduler(Time now);
   Time next_due(Time now) const;  // Time::max(): neither stage waits for a time
 
   // The priority band with which an attempt starts.
@@ -49,25 +49,25 @@
   void on_attempt_ended(policy::QueryId query);
   // The band that the engine is to be notified of; nullopt: it stays.
   std::optional<std::uint32_t> on_priority_requested(Time now, policy::QueryId query, std::uint32_t priority);
-  std::optional<queues::Bands::Change> next_band_change(Time now);
-  void on_request_finished(Time now, policy::QueryId query, const door::Outcome& outcome);
+  std::optional<scheduler::Bands::Change> next_band_change(Time now);
+  void on_request_finished(Time now, policy::QueryId query, const throttle::Outcome& outcome);
 
-  std::optional<door::Figures> throttle_metrics() const;
-  std::optional<queues::Figures> scheduler_metrics() const;
+  std::optional<throttle::Figures> throttle_metrics() const;
+  std::optional<scheduler::Figures> scheduler_metrics() const;
   // Writes the stages' metrics to the log, every 10 s at most, while requests wait or are rejected.
   void log_metrics_if_due(Time now);
 
  private:
   const policy::ClassSettings& class_of(const RequestReceived& request) const;
-  queues::Arrival scheduler_arrival(Time now, policy::QueryId query, const RequestReceived& request,
-                                    double cost_s) const;
+  scheduler::Arrival scheduler_arrival(Time now, policy::QueryId query, const RequestReceived& request,
+                                       double cost_s) const;
   void log_scheduler_metrics();
   void log_throttle_metrics();
 
   const config::Config& config_;
   Log& log_;
-  std::optional<door::Door> throttle_;
-  std::optional<queues::Queues> scheduler_;
+  std::optional<throttle::Throttle> throttle_;
+  std::optional<scheduler::Scheduler> scheduler_;
   Time next_log_{};
   std::uint64_t logged_rejections_ = 0;
   std::uint64_t logged_waits_ = 0;
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -99,12 +99,12 @@
   controller_.set_manager_count(manager_count_ * static_cast<double>(1 + peer_processes_));
 }
 
-void Dispatcher::configure(Time now, const door::Settings& settings) {
+void Dispatcher::configure(Time now, const throttle::Settings& settings) {
   clock_.advance_to(now);
   stages_.configure_throttle(settings);
 }
 
-void Dispatcher::configure(Time now, const queues::Settings& settings) {
+void Dispatcher::configure(Time now, const scheduler::Settings& settings) {
   clock_.advance_to(now);
   stages_.configure_scheduler(clock_.now(), settings);
 }
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -44,12 +44,12 @@
 
   // Applies what a reload may change of the throttle (weights, times and hints) and the scheduler (teams
   // too).
-  void configure(Time now, const door::Settings& settings);
-  void configure(Time now, const queues::Settings& settings);
+  void configure(Time now, const throttle::Settings& settings);
+  void configure(Time now, const scheduler::Settings& settings);
   // What operators see of the stages; nullopt or nullptr: the stage is off.
-  std::optional<door::Figures> throttle_metrics() const { return stages_.throttle_metrics(); }
-  std::optional<queues::Figures> scheduler_metrics() const { return stages_.scheduler_metrics(); }
-  const queues::Queues* scheduler() const { return stages_.scheduler(); }
+  std::optional<throttle::Figures> throttle_metrics() const { return stages_.throttle_metrics(); }
+  std::optional<scheduler::Figures> scheduler_metrics() const { return stages_.scheduler_metrics(); }
+  const scheduler::Scheduler* scheduler() const { return stages_.scheduler(); }
 
   void handle(Time now, Event event);
   void tick(Time now);                                  // fires the timers that are due
--- a/src/dispatch/request.h
+++ b/src/dispatch/request.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "dispatch/timer_queue.h"
-#include "door/outcome.h"
+#include "throttle/outcome.h"
 
 namespace yokestream::dispatch {
 
@@ -42,7 +42,7 @@
   TimerQueue::Handle watchdog;
   Time submitted_at{};                                // to the decision module
   std::optional<policy::EngineSet> eligible_engines;  // as the decision module was notified last
-  door::Outcome stage_outcome;                        // reported to the admission stages at the end
+  throttle::Outcome stage_outcome;                    // reported to the admission stages at the end
 };
 
 }  // namespace yokestream::dispatch
--- a/src/dispatch/request_admission.cpp
+++ b/src/dispatch/request_admission.cpp
@@ -30,7 +30,7 @@
     return use_.responder.reject(request, kOverloadedRetryAfter);
   keep_deadline_margin(request);
   const QueryId query = use_.requests.next_query_id();
-  door::Verdict verdict;
+  throttle::Verdict verdict;
   if (use_.stages.has_throttle() && rejected_by_throttle(query, request, &verdict)) return;
   use_.sessions.on_request_opened(use_.clock.now(), request.session);
   Request entry;
@@ -39,7 +39,7 @@
   entry.received = std::move(request);
   entry.memory_reservation = std::move(memory);
   use_.requests.insert(query, std::move(entry));
-  if (verdict.ruling == door::Ruling::pass) after_throttle(query, verdict.cost);
+  if (verdict.ruling == throttle::Ruling::pass) after_throttle(query, verdict.cost);
 }
 
 bool RequestAdmission::answered_at_once(const RequestReceived& request) {
@@ -81,10 +81,10 @@
 }
 
 bool RequestAdmission::rejected_by_throttle(QueryId query, const RequestReceived& request,
-                                            door::Verdict* verdict) {
+                                            throttle::Verdict* verdict) {
   *verdict =
       use_.stages.offer_to_throttle(use_.clock.now(), query, request, use_.sessions.origin(request.session));
-  if (verdict->ruling != door::Ruling::turn_away) return false;
+  if (verdict->ruling != throttle::Ruling::turn_away) return false;
   use_.responder.reject(request, verdict->hint);
   return true;
 }
@@ -92,11 +92,11 @@
 void RequestAdmission::after_throttle(QueryId query, double cost_s) {
   if (!use_.stages.has_scheduler()) return submit_to_policy(query, cost_s);
   const RequestReceived& request = use_.requests.at(query).received;
-  const queues::Verdict verdict = use_.stages.offer_to_scheduler(use_.clock.now(), query, request, cost_s);
-  if (verdict.ruling == queues::Ruling::turn_away)
+  const scheduler::Verdict verdict = use_.stages.offer_to_scheduler(use_.clock.now(), query, request, cost_s);
+  if (verdict.ruling == scheduler::Ruling::turn_away)
     return use_.responder.reject_unsubmitted(query, verdict.hint);
   use_.responder.attach_quote(request, verdict.quote);
-  if (verdict.ruling == queues::Ruling::pass) submit_to_policy(query, verdict.cost);
+  if (verdict.ruling == scheduler::Ruling::pass) submit_to_policy(query, verdict.cost);
 }
 
 // `cost_s`: the stages' estimate in core seconds, corrected by tenant; it replaces the reported one, so that
@@ -134,7 +134,7 @@
 bool RequestAdmission::advance_throttle() {
   const auto moved = use_.stages.next_from_throttle(use_.clock.now());
   if (!moved) return false;
-  if (moved->verdict.ruling == door::Ruling::pass)
+  if (moved->verdict.ruling == throttle::Ruling::pass)
     after_throttle(moved->query, moved->verdict.cost);
   else
     use_.responder.reject_unsubmitted(moved->query, moved->verdict.hint);
@@ -144,7 +144,7 @@
 bool RequestAdmission::advance_scheduler() {
   const auto moved = use_.stages.next_from_scheduler(use_.clock.now());
   if (!moved) return false;
-  if (moved->verdict.ruling == queues::Ruling::pass)
+  if (moved->verdict.ruling == scheduler::Ruling::pass)
     submit_to_policy(moved->query, moved->verdict.cost);
   else
     use_.responder.reject_unsubmitted(moved->query, moved->verdict.hint);
--- a/src/net/client_call.cpp
+++ b/src/net/client_call.cpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <system_error>
 
-#include "queues/quote.h"
+#include "scheduler/quote.h"
 #include "statement/table_group.h"
 
 namespace yokestream::net {
--- a/src/net/client_session.cpp
+++ b/src/net/client_session.cpp
@@ -10,7 +10,7 @@
 constexpr int kBurstMessages = 64;
 constexpr Duration kMessageInterval = std::chrono::milliseconds(20);
 
-protocol::Fields quote_fields(const queues::Quote& quote) {
+protocol::Fields quote_fields(const scheduler::Quote& quote) {
   const auto ms = [](Duration d) {
     return std::to_string(std::chrono::ceil<std::chrono::milliseconds>(d).count());
   };
@@ -95,12 +95,12 @@
 }
 
 // Nothing reports the end of a cancelled call here, so the oldest quotes are dropped.
-void ClientSession::attach_quote(dispatch::CallId call, const queues::Quote& quote) {
+void ClientSession::attach_quote(dispatch::CallId call, const scheduler::Quote& quote) {
   attached_quotes_[call] = quote;
   if (attached_quotes_.size() > kMaxAttachedQuotes) attached_quotes_.erase(attached_quotes_.begin());
 }
 
-void ClientSession::send_quote(dispatch::CallId call, const queues::Quote& quote) {
+void ClientSession::send_quote(dispatch::CallId call, const scheduler::Quote& quote) {
   enqueue_bytes(protocol::encode_result(call, "", quote_fields(quote)));
 }
 
--- a/src/net/events.h
+++ b/src/net/events.h
@@ -7,11 +7,11 @@
 
 #include "coordination/fleet_member.h"
 #include "dispatch/ports.h"
-#include "door/settings.h"
 #include "net/event_queue.h"
 #include "net/socket.h"
-#include "queues/settings.h"
 #include "routing/router.h"
+#include "scheduler/settings.h"
+#include "throttle/settings.h"
 
 namespace yokestream::net {
 
@@ -25,8 +25,8 @@
 
 struct ConfigurationReloaded {  // the parts of a new configuration that take effect at once
   std::optional<config::Endpoint> feed;
-  door::Settings door;
-  queues::Settings queues;
+  throttle::Settings door;
+  scheduler::Settings queues;
 };
 
 struct LoadGrantChanged {  // the part of the fleet's load that this process may count on
--- a/src/operator/operator_file.h
+++ b/src/operator/operator_file.h
@@ -26,8 +26,8 @@
 
 struct Operator {
   LogSettings log;
-  door::Settings door;
-  queues::Settings queues;
+  throttle::Settings door;
+  scheduler::Settings queues;
   coordination::Settings fleet;
   std::vector<Value> values;
 };
--- a/src/operator/read_door.cpp
+++ b/src/operator/read_door.cpp
@@ -27,10 +27,10 @@
 
 }  // namespace
 
-door::Settings read_door(const Json::Value& told, const config::Config& platform,
-                         std::vector<Value>& values) {
+throttle::Settings read_door(const Json::Value& told, const config::Config& platform,
+                             std::vector<Value>& values) {
   Section section(told, "door", values);
-  door::Settings door;
+  throttle::Settings door;
   door.on = section.flag("on", door.on);
   door.waiting = section.count("waiting", door.waiting, 1, 65'536);
   door.places = section.count("places", door.places, 1, 65'536);
--- a/src/operator/read_queues.cpp
+++ b/src/operator/read_queues.cpp
@@ -19,7 +19,7 @@
     const auto it = std::find(names.begin(), names.end(), name);
     if (it == names.end()) throw ConfigError(here, "no owner of the platform file");
     const auto member = static_cast<std::size_t>(it - names.begin());
-    if (team_of[member] != queues::kNone) throw ConfigError(here, "an owner that is in two teams");
+    if (team_of[member] != scheduler::kNone) throw ConfigError(here, "an owner that is in two teams");
     team_of[member] = team;
     owners.push_back(member);
   }
@@ -33,11 +33,11 @@
   return share;
 }
 
-queues::Team read_team(const std::string& name, const Json::Value& told, const std::string& path,
-                       const config::Config& platform, std::vector<Value>& values,
-                       std::vector<std::size_t>& team_of, std::size_t position) {
+scheduler::Team read_team(const std::string& name, const Json::Value& told, const std::string& path,
+                          const config::Config& platform, std::vector<Value>& values,
+                          std::vector<std::size_t>& team_of, std::size_t position) {
   Section section(told, path, values);
-  queues::Team team;
+  scheduler::Team team;
   team.name = name;
   const auto owners = read_owners(section.at("owners"), section.path("owners"), platform, team_of, position);
   const Json::Value& group = section.at("group");
@@ -52,19 +52,19 @@
   if (team.floor > team.ceiling) throw ConfigError(section.path("floor"), "above the ceiling");
   Section levels(section.at("levels"), section.path("levels"), values);
   for (const std::string& cls : platform.real.classes)
-    team.level.push_back(static_cast<unsigned>(levels.count(cls, 1, 0, queues::kLevels - 1)));
+    team.level.push_back(static_cast<unsigned>(levels.count(cls, 1, 0, scheduler::kLevels - 1)));
   levels.done();
   section.done();
   return team;
 }
 
 // Groups are teams that others name; they own nobody, and stand in no group themselves.
-void check_groups(const queues::Settings& queues, std::vector<queues::Team>& teams) {
+void check_groups(const scheduler::Settings& queues, std::vector<scheduler::Team>& teams) {
   for (const auto& team : teams) {
     if (team.group.empty()) continue;
     const std::string path = "queues.teams." + team.name + ".group";
     const auto group = std::find_if(teams.begin(), teams.end(),
-                                    [&](const queues::Team& other) { return other.name == team.group; });
+                                    [&](const scheduler::Team& other) { return other.name == team.group; });
     if (group == teams.end()) throw ConfigError(path, "no team of this name");
     if (!group->group.empty()) throw ConfigError(path, "a team that is in a group itself");
     const auto position = static_cast<std::size_t>(group - teams.begin());
@@ -80,11 +80,11 @@
 
 }  // namespace
 
-queues::Settings read_queues(const Json::Value& told, const config::Config& platform,
-                             std::vector<Value>& values) {
+scheduler::Settings read_queues(const Json::Value& told, const config::Config& platform,
+                                std::vector<Value>& values) {
   constexpr std::size_t kMostTeams = 64;
   Section section(told, "queues", values);
-  queues::Settings queues;
+  scheduler::Settings queues;
   queues.on = section.flag("on", queues.on);
   queues.span = section.time("span_ms", queues.span, 1000, 86'400'000);
   queues.age = section.time("age_ms", queues.age, 10, 600'000);
@@ -100,15 +100,15 @@
   queues.nice_per_s = section.number("nice_per_s", queues.nice_per_s, 0, 1000);
   const Json::Value& teams = section.at("teams");
   if (!teams.isNull() && !teams.isObject()) throw ConfigError("queues.teams", "not an object");
-  queues.team_of.assign(platform.real.tenants.size(), queues::kNone);
-  queues::Team rest;
+  queues.team_of.assign(platform.real.tenants.size(), scheduler::kNone);
+  scheduler::Team rest;
   rest.name = "rest";
   queues.teams.push_back(rest);
   for (const std::string& name : teams.isNull() ? std::vector<std::string>{} : teams.getMemberNames()) {
     if (queues.teams.size() > kMostTeams) throw ConfigError("queues.teams", "more than 64 teams");
     const std::string path = "queues.teams." + name;
     const std::size_t position = name == "rest" ? 0 : queues.teams.size();
-    queues::Team team = read_team(name, teams[name], path, platform, values, queues.team_of, position);
+    scheduler::Team team = read_team(name, teams[name], path, platform, values, queues.team_of, position);
     if (name == "rest")
       queues.teams[0] = team;
     else
@@ -116,7 +116,7 @@
   }
   if (teams.isNull()) {  // each owner is a team
     for (std::size_t i = 0; i < platform.real.tenants.size(); ++i) {
-      queues::Team team;
+      scheduler::Team team;
       team.name = platform.real.tenants[i];
       team.share = share_of({i}, platform);
       queues.team_of[i] = queues.teams.size();
@@ -125,7 +125,7 @@
   }
   std::vector<std::size_t> left;
   for (std::size_t i = 0; i < queues.team_of.size(); ++i) {
-    if (queues.team_of[i] != queues::kNone) continue;
+    if (queues.team_of[i] != scheduler::kNone) continue;
     queues.team_of[i] = 0;
     left.push_back(i);
   }
--- a/src/operator/section.h
+++ b/src/operator/section.h
@@ -44,8 +44,8 @@
       throw config::ConfigError(path(key), fmt::format("not a whole number from {} to {}", least, most));
     return note(key, v, v.isNull() ? when_absent : static_cast<std::size_t>(n));
   }
-  door::Duration time(const std::string& key, door::Duration when_absent, std::size_t least_ms,
-                      std::size_t most_ms) {
+  throttle::Duration time(const std::string& key, throttle::Duration when_absent, std::size_t least_ms,
+                          std::size_t most_ms) {
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(when_absent).count();
     return std::chrono::milliseconds(count(key, static_cast<std::size_t>(ms), least_ms, most_ms));
   }
@@ -79,15 +79,16 @@
 };
 
 // The platform's clients heed no longer advice than it says.
-inline door::Duration heeded(door::Duration hint, const config::Config& platform) {
+inline throttle::Duration heeded(throttle::Duration hint, const config::Config& platform) {
   const auto most = platform.settings.max_retry_after;
-  return platform.settings.may_send_retry_after && most > door::Duration{} ? std::min(hint, most) : hint;
+  return platform.settings.may_send_retry_after && most > throttle::Duration{} ? std::min(hint, most) : hint;
 }
 
 // The sections, each in a file of its own.
-door::Settings read_door(const Json::Value& told, const config::Config& platform, std::vector<Value>& values);
-queues::Settings read_queues(const Json::Value& told, const config::Config& platform,
+throttle::Settings read_door(const Json::Value& told, const config::Config& platform,
                              std::vector<Value>& values);
+scheduler::Settings read_queues(const Json::Value& told, const config::Config& platform,
+                                std::vector<Value>& values);
 coordination::Settings read_fleet(const Json::Value& told, std::vector<Value>& values);
 
 }  // namespace yokestream::operator_file
--- a/src/queues/accounts.cpp
+++ b/src/scheduler/accounts.cpp
@@ -1,10 +1,10 @@
-#include "queues/accounts.h"
+#include "scheduler/accounts.h"
 
 #include <algorithm>
 
 #include "base/seconds.h"
 
-namespace yokestream::queues {
+namespace yokestream::scheduler {
 namespace {
 
 constexpr double kRunUp = 1.0;  // seconds' worth that floors and ceilings save up
@@ -116,4 +116,4 @@
   }
 }
 
-}  // namespace yokestream::queues
+}  // namespace yokestream::scheduler
--- a/src/queues/accounts.h
+++ b/src/scheduler/accounts.h
@@ -16,9 +16,9 @@
 #include <string>
 #include <vector>
 
-#include "queues/settings.h"
+#include "scheduler/settings.h"
 
-namespace yokestream::queues {
+namespace yokestream::scheduler {
 
 enum class Standing { owed, within, borrowing, barred };
 
@@ -64,4 +64,4 @@
   Time at_{};
 };
 
-}  // namespace yokestream::queues
+}  // namespace yokestream::scheduler
--- a/src/queues/bands.cpp
+++ b/src/scheduler/bands.cpp
@@ -1,8 +1,8 @@
-#include "queues/bands.h"
+#include "scheduler/bands.h"
 
 #include <algorithm>
 
-namespace yokestream::queues {
+namespace yokestream::scheduler {
 
 void Bands::configure(double sink, double nice_per_s) { sink_ = sink, nice_per_s_ = nice_per_s; }
 
@@ -88,4 +88,4 @@
   return std::nullopt;
 }
 
-}  // namespace yokestream::queues
+}  // namespace yokestream::scheduler
--- a/src/queues/bands.h
+++ b/src/scheduler/bands.h
@@ -21,9 +21,9 @@
 #include <optional>
 #include <string>
 
-#include "queues/settings.h"
+#include "scheduler/settings.h"
 
-namespace yokestream::queues {
+namespace yokestream::scheduler {
 
 class Bands {
  public:
@@ -80,4 +80,4 @@
   std::uint64_t told_ = 0;
 };
 
-}  // namespace yokestream::queues
+}  // namespace yokestream::scheduler
--- a/src/queues/fair_order.cpp
+++ b/src/scheduler/fair_order.cpp
@@ -1,9 +1,9 @@
-#include "queues/fair_order.h"
+#include "scheduler/fair_order.h"
 
 #include <algorithm>
 #include <tuple>
 
-namespace yokestream::queues {
+namespace yokestream::scheduler {
 
 void FairOrder::teams(Time now, std::size_t count) {
   tags_.assign(count, Tag{reached_, now});
@@ -71,4 +71,4 @@
   if (top != team) tags_[team].tag += by / accounts.weight(team);
 }
 
-}  // namespace yokestream::queues
+}  // namespace yokestream::scheduler
--- a/src/queues/fair_order.h
+++ b/src/scheduler/fair_order.h
@@ -13,10 +13,10 @@
 
 #include <vector>
 
-#include "queues/accounts.h"
-#include "queues/waiting.h"
+#include "scheduler/accounts.h"
+#include "scheduler/waiting.h"
 
-namespace yokestream::queues {
+namespace yokestream::scheduler {
 
 class FairOrder {
  public:
@@ -65,4 +65,4 @@
   Time at_{};
 };
 
-}  // namespace yokestream::queues
+}  // namespace yokestream::scheduler
--- a/src/queues/forecast.cpp
+++ b/src/scheduler/forecast.cpp
@@ -1,9 +1,9 @@
-#include "queues/forecast.h"
+#include "scheduler/forecast.h"
 
 #include <algorithm>
 #include <array>
 
-namespace yokestream::queues {
+namespace yokestream::scheduler {
 namespace {
 
 constexpr int kSteps = 48;
@@ -73,4 +73,4 @@
   return most;
 }
 
-}  // namespace yokestream::queues
+}  // namespace yokestream::scheduler
--- a/src/queues/forecast.h
+++ b/src/scheduler/forecast.h
@@ -11,9 +11,9 @@
 
 #include <vector>
 
-#include "queues/accounts.h"
+#include "scheduler/accounts.h"
 
-namespace yokestream::queues {
+namespace yokestream::scheduler {
 
 struct Tank {
   double work = 0;    // that waits, engine-seconds
@@ -28,4 +28,4 @@
 // Seconds until `team` has drained `ahead`; at most `most`.
 double drained_after(std::vector<Tank>& tanks, std::size_t team, double ahead, double per_s, double most);
 
-}  // namespace yokestream::queues
+}  // namespace yokestream::scheduler
--- a/src/queues/quote.h
+++ b/src/scheduler/quote.h
@@ -3,11 +3,11 @@
 
 #include "yokestream/policy/admission_controller.h"
 
-namespace yokestream::queues {
+namespace yokestream::scheduler {
 
 // From now: until it goes to an engine, and until its answer comes; the median, and what nine in ten keep.
 struct Quote {
   policy::Duration wait{}, wait_most{}, answer{}, answer_most{};
 };
 
-}  // namespace yokestream::queues
+}  // namespace yokestream::scheduler
--- a/src/queues/queues.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -1,4 +1,4 @@
-#include "queues/queues.h"
+#include "scheduler/scheduler.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 
 #include "base/seconds.h"
 
-namespace yokestream::queues {
+namespace yokestream::scheduler {
 namespace {
 
 constexpr Duration kLook = std::chrono::milliseconds(100);    // while somebody waits, accounts fill
@@ -44,7 +44,7 @@
   return (quoted < kShort && came < kShort) || std::abs(quoted - came) <= kRight * came;
 }
 
-Queues::Queues(Time now, Settings settings, std::size_t classes)
+Scheduler::Scheduler(Time now, Settings settings, std::size_t classes)
     : settings_(std::move(settings)),
       classes_(classes),
       capacity_(classes, settings_.threads_per_core),
@@ -54,12 +54,12 @@
   lay_out(now);
 }
 
-std::size_t Queues::bytes(const Settings& settings) {
+std::size_t Scheduler::bytes(const Settings& settings) {
   return settings.waiting * (Waiting::kEntryBytes + sizeof(Ref)) +
          settings.teams.size() * (WorkByDue::kSlots * sizeof(double) + sizeof(Team));
 }
 
-void Queues::lay_out(Time now) {
+void Scheduler::lay_out(Time now) {
   accounts_.configure(now, settings_);
   order_.teams(now, settings_.teams.size());
   bands_.configure(settings_.sink, settings_.nice_per_s);
@@ -77,7 +77,7 @@
   cores(now, cores_);
 }
 
-void Queues::configure(Time now, const Settings& settings) {
+void Scheduler::configure(Time now, const Settings& settings) {
   Snapshot kept = snapshot(now);
   std::unordered_map<QueryId, Waits> waits = std::move(waits_);
   for (const Entry& entry : waiting_.all()) waiting_.remove(waits.at(entry.query).ref);
@@ -85,7 +85,7 @@
   const std::size_t sizes = settings_.waiting;
   const auto& teams = settings_.teams;
   const bool same = std::equal(teams.begin(), teams.end(), settings.teams.begin(), settings.teams.end(),
-                               [](const queues::Team& a, const queues::Team& b) { return a.name == b.name; });
+                               [](const Team& a, const Team& b) { return a.name == b.name; });
   settings_ = settings;
   settings_.waiting = sizes;  // made at the start
   std::vector<Team> before = std::move(teams_);
@@ -103,7 +103,7 @@
   }
 }
 
-void Queues::cores(Time now, double cores) {
+void Scheduler::cores(Time now, double cores) {
   if (cores > 0 && cores_ > 0 && cores != cores_)
     pace_ *= cores / cores_, pace_windows_ = std::min(pace_windows_, kKnownWindows);
   if (cores > 0) cores_ = cores;
@@ -113,27 +113,27 @@
   order_.capacity(now, settings_.rescue * pace_);
 }
 
-std::size_t Queues::team_of(std::size_t member) const {
+std::size_t Scheduler::team_of(std::size_t member) const {
   const std::size_t team = member < settings_.team_of.size() ? settings_.team_of[member] : 0;
   return team < settings_.teams.size() ? team : 0;
 }
 
-unsigned Queues::level(std::size_t team, std::size_t cls) const {
+unsigned Scheduler::level(std::size_t team, std::size_t cls) const {
   const auto& level = settings_.teams[team].level;
   return cls < level.size() ? level[cls] : 1;
 }
 
-double Queues::inflow(Time now, std::size_t team, std::size_t cls) const {
+double Scheduler::inflow(Time now, std::size_t team, std::size_t cls) const {
   return teams_[team].inflow[cls] * std::exp(-seconds_of(now - teams_[team].inflow_at[cls]) / kInflow);
 }
 
-void Queues::note_inflow(Time now, std::size_t team, std::size_t cls, double cost) {
+void Scheduler::note_inflow(Time now, std::size_t team, std::size_t cls, double cost) {
   const double smoothed = inflow(now, team, cls) + cost / kInflow;
   teams_[team].inflow[cls] = smoothed;
   teams_[team].inflow_at[cls] = now;
 }
 
-void Queues::fill_tanks(Time now) {
+void Scheduler::fill_tanks(Time now) {
   tanks_.clear();
   for (std::size_t i = 0; i < teams_.size(); ++i) {
     Tank tank;
@@ -151,7 +151,7 @@
 
 // Seconds until one of the team that is due then goes. Who arrives meanwhile and is due earlier goes before
 // it: that much is added to what is ahead, which depends on the wait; two rounds settle it.
-double Queues::forecast(Time now, std::size_t team, Time due) {
+double Scheduler::forecast(Time now, std::size_t team, Time due) {
   const double ahead = waiting_.before(team, due);
   fill_tanks(now);
   double wait = 0;
@@ -170,7 +170,7 @@
 }
 
 // Teams other than this one whose first request is overdue.
-std::size_t Queues::overdue(Time now, std::size_t but) const {
+std::size_t Scheduler::overdue(Time now, std::size_t but) const {
   std::size_t count = 0;
   for (std::size_t i = 0; i < teams_.size(); ++i) {
     const auto head = waiting_.head(i);
@@ -179,13 +179,13 @@
   return count;
 }
 
-bool Queues::room(Time now, std::size_t team) {
+bool Scheduler::room(Time now, std::size_t team) {
   if (threads_in_ == 0) return true;
   const bool borrows = accounts_.standing(now, team) == Standing::borrowing;
   return threads_in_ < capacity_.bound() * (borrows ? 1 - kReserve : 1);
 }
 
-Queues::Expected Queues::expect(Time now, const Arrival& arrival, bool room) {
+Scheduler::Expected Scheduler::expect(Time now, const Arrival& arrival, bool room) {
   Expected e;
   e.team = team_of(arrival.member);
   e.typical = cost_.charge(arrival.member, arrival.cls, arrival.estimated_work_s);
@@ -221,14 +221,14 @@
   return e;
 }
 
-Quote Queues::quote(Time now, const Arrival& arrival) {
+Quote Scheduler::quote(Time now, const Arrival& arrival) {
   const std::size_t team = team_of(arrival.member);
   return expect(now, arrival, waiting_.count(team) == 0 && room(now, team)).quote;
 }
 
-double Queues::typical(const In& in) const { return cost_.charge(in.member, in.cls, in.told); }
+double Scheduler::typical(const In& in) const { return cost_.charge(in.member, in.cls, in.told); }
 
-void Queues::enter(Time now, QueryId query, const In& in, bool overdue) {
+void Scheduler::enter(Time now, QueryId query, const In& in, bool overdue) {
   threads_in_ += in.threads;
   if (waiting_.size() > 0) window_gone_ += in.cost;
   In& stored = in_[query] = in;
@@ -238,7 +238,7 @@
   order_.went(now, {in.team, overdue}, in.cost, accounts_);
 }
 
-Verdict Queues::turn_away(const Expected& expected, Duration allowed, QueryId query) const {
+Verdict Scheduler::turn_away(const Expected& expected, Duration allowed, QueryId query) const {
   const double over = seconds_of(expected.quote.wait) - 0.5 * seconds_of(allowed);
   const double spread =
       static_cast<double>((static_cast<std::uint64_t>(query) * 0x9e3779b97f4a7c15ull) >> 11) * 0x1.0p-53;
@@ -247,7 +247,7 @@
           expected.quote};
 }
 
-Verdict Queues::arrive(Time now, const Arrival& arrival) {
+Verdict Scheduler::arrive(Time now, const Arrival& arrival) {
   ++figures_.arrived;
   const std::size_t team = team_of(arrival.member);
   const bool at_once =
@@ -292,7 +292,7 @@
 // What goes while somebody waits all the time says what engines take; else only what was asked for. A mean
 // over many windows, as quotes are only as good as it is steady; but of few where it is new, where engines
 // came or went, and where several windows in a row were off to one side.
-void Queues::learn_pace(Time now) {
+void Scheduler::learn_pace(Time now) {
   if (now - window_ < kWindow) return;
   const double rate = window_gone_ / seconds_of(now - window_);
   const double off = rate / pace_;
@@ -306,7 +306,7 @@
   window_ = now, window_gone_ = 0;
 }
 
-void Queues::went(Time now, const Entry& entry) {
+void Scheduler::went(Time now, const Entry& entry) {
   const double came = seconds_of(now - entry.arrived);
   const bool right = quote_right(entry.quoted, came);
   ++figures_.quotes, figures_.quotes_right += right;
@@ -316,7 +316,7 @@
     teams_[entry.team].errors[size_of(entry.raw)].add(std::clamp(came / entry.raw, 0.1, 9.9));
 }
 
-std::optional<Moved> Queues::next(Time now) {
+std::optional<Moved> Scheduler::next(Time now) {
   bands_.waiting(now, waiting_.size() > 0);
   capacity_.tick(now, waiting_.size() > 0);
   if (waiting_.size() == 0) return std::nullopt;
@@ -348,14 +348,14 @@
   return Moved{entry.query, {Ruling::pass, {}, typical(in), {}}};
 }
 
-Time Queues::next_due(Time now) const {
+Time Scheduler::next_due(Time now) const {
   Time due = bands_.next_due();
   if (waiting_.size() == 0) return due;
   return std::min({due, waiting_.at(*waiting_.expiring()).until, now + kLook});
 }
 
-void Queues::over(Time now, QueryId query, const door::Outcome& outcome) {
-  const auto settled = door::settle(waits_, waiting_, in_, query);
+void Scheduler::over(Time now, QueryId query, const throttle::Outcome& outcome) {
+  const auto settled = throttle::settle(waits_, waiting_, in_, query);
   if (!settled) return;
   const In& in = *settled;
   bands_.end(query);
@@ -375,7 +375,7 @@
   capacity_.over(now, in.cls, in.threads, in.cost, outcome, waiting_.size() > 0);
 }
 
-unsigned Queues::started(Time now, QueryId query, const std::string& engine, unsigned wish) {
+unsigned Scheduler::started(Time now, QueryId query, const std::string& engine, unsigned wish) {
   const auto it = in_.find(query);
   if (it == in_.end()) return wish;
   const In& in = it->second;
@@ -393,7 +393,7 @@
 }
 
 // One that sinks keeps little of its engine, and gives back the room that it no longer takes.
-std::optional<Bands::Change> Queues::next_band(Time now) {
+std::optional<Bands::Change> Scheduler::next_band(Time now) {
   const auto change = bands_.next(now);
   if (!change || !change->sinks) return change;
   In& in = in_.at(change->query);
@@ -402,7 +402,7 @@
   return change;
 }
 
-Figures Queues::figures() const {
+Figures Scheduler::figures() const {
   Figures f = figures_;
   f.waiting = waiting_.size();
   f.in = in_.size();
@@ -414,7 +414,7 @@
   return f;
 }
 
-Snapshot Queues::snapshot(Time now) {
+Snapshot Scheduler::snapshot(Time now) {
   Snapshot out;
   out.balances = accounts_.balances(now);
   out.pace = pace_windows_ > 0 ? pace_ : 0;
@@ -424,7 +424,7 @@
   return out;
 }
 
-std::vector<QueryId> Queues::restore(Time now, const Snapshot& snapshot) {
+std::vector<QueryId> Scheduler::restore(Time now, const Snapshot& snapshot) {
   accounts_.restore(now, snapshot.balances);
   if (snapshot.pace > 0) pace_ = snapshot.pace, pace_windows_ = kKnownWindows;
   accounts_.capacity(now, pace_);
@@ -458,4 +458,4 @@
   return left;
 }
 
-}  // namespace yokestream::queues
+}  // namespace yokestream::scheduler
--- a/src/queues/queues.h
+++ b/src/scheduler/scheduler.h
@@ -23,18 +23,18 @@
 #include <unordered_map>
 #include <vector>
 
-#include "door/capacity.h"
-#include "door/cost.h"
-#include "door/outcome.h"
-#include "queues/accounts.h"
-#include "queues/bands.h"
-#include "queues/fair_order.h"
-#include "queues/forecast.h"
-#include "queues/quote.h"
-#include "queues/service_times.h"
-#include "queues/waiting.h"
-
-namespace yokestream::queues {
+#include "scheduler/accounts.h"
+#include "scheduler/bands.h"
+#include "scheduler/fair_order.h"
+#include "scheduler/forecast.h"
+#include "scheduler/quote.h"
+#include "scheduler/service_times.h"
+#include "scheduler/waiting.h"
+#include "throttle/capacity.h"
+#include "throttle/cost.h"
+#include "throttle/outcome.h"
+
+namespace yokestream::scheduler {
 
 struct Arrival {
   QueryId query{};
@@ -85,9 +85,9 @@
   double pace = 0;
 };
 
-class Queues {
+class Scheduler {
  public:
-  Queues(Time now, Settings settings, std::size_t classes);
+  Scheduler(Time now, Settings settings, std::size_t classes);
 
   // Teams may come, go and change; of one that goes, what waits goes on in its member's new team.
   void configure(Time now, const Settings& settings);
@@ -96,7 +96,7 @@
   Verdict arrive(Time now, const Arrival& arrival);
   Quote quote(Time now, const Arrival& arrival);  // what arrive() would quote; changes nothing
   // Over, in whatever way: given up while it waited, or finished after it passed.
-  void over(Time now, QueryId query, const door::Outcome& outcome);
+  void over(Time now, QueryId query, const throttle::Outcome& outcome);
   std::optional<Moved> next(Time now);  // the next that is to go on or to be turned away; nullopt: nobody
   Time next_due(Time now) const;
 
@@ -178,8 +178,8 @@
 
   Settings settings_;
   std::size_t classes_;
-  door::Capacity capacity_;
-  door::Cost cost_;
+  throttle::Capacity capacity_;
+  throttle::Cost cost_;
   Accounts accounts_;
   FairOrder order_;
   Waiting waiting_;
@@ -196,4 +196,4 @@
   Figures figures_;
 };
 
-}  // namespace yokestream::queues
+}  // namespace yokestream::scheduler
--- a/src/queues/service_times.cpp
+++ b/src/scheduler/service_times.cpp
@@ -1,9 +1,9 @@
-#include "queues/service_times.h"
+#include "scheduler/service_times.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace yokestream::queues {
+namespace yokestream::scheduler {
 
 namespace bh = boost::histogram;
 
@@ -52,4 +52,4 @@
   return of(team, cls).quantile(part, by_class_[cls].quantile(part, guess(part)));
 }
 
-}  // namespace yokestream::queues
+}  // namespace yokestream::scheduler
--- a/src/queues/service_times.h
+++ b/src/scheduler/service_times.h
@@ -8,7 +8,7 @@
 #include <cstddef>
 #include <vector>
 
-namespace yokestream::queues {
+namespace yokestream::scheduler {
 
 class Distribution {
  public:
@@ -44,4 +44,4 @@
   std::vector<Distribution> by_team_, by_class_;
 };
 
-}  // namespace yokestream::queues
+}  // namespace yokestream::scheduler
--- a/src/queues/settings.h
+++ b/src/scheduler/settings.h
@@ -8,7 +8,7 @@
 
 #include "yokestream/policy/admission_controller.h"
 
-namespace yokestream::queues {
+namespace yokestream::scheduler {
 
 using policy::Duration;
 using policy::QueryId;
@@ -49,4 +49,4 @@
   double nice_per_s = 20;         // changes of priority a second and engine; 0 to 1,000
 };
 
-}  // namespace yokestream::queues
+}  // namespace yokestream::scheduler
--- a/src/queues/waiting.cpp
+++ b/src/scheduler/waiting.cpp
@@ -1,8 +1,8 @@
-#include "queues/waiting.h"
+#include "scheduler/waiting.h"
 
 #include <algorithm>
 
-namespace yokestream::queues {
+namespace yokestream::scheduler {
 
 Time due_time(Time arrived, unsigned level, Duration age, Time wanted, Duration needs) {
   const unsigned below = static_cast<unsigned>(kLevels - 1) - std::min<unsigned>(level, kLevels - 1);
@@ -78,4 +78,4 @@
   return out;
 }
 
-}  // namespace yokestream::queues
+}  // namespace yokestream::scheduler
--- a/src/queues/waiting.h
+++ b/src/scheduler/waiting.h
@@ -23,9 +23,9 @@
 #include <set>
 #include <vector>
 
-#include "queues/settings.h"
+#include "scheduler/settings.h"
 
-namespace yokestream::queues {
+namespace yokestream::scheduler {
 
 using Ref = std::uint32_t;
 
@@ -98,4 +98,4 @@
   Order until_{&pool_};
 };
 
-}  // namespace yokestream::queues
+}  // namespace yokestream::scheduler
--- a/src/standin/deadline.cpp
+++ b/src/standin/deadline.cpp
@@ -49,13 +49,13 @@
   return loads;
 }
 
-queues::Settings teams_of_members() {
-  queues::Settings out;
+scheduler::Settings teams_of_members() {
+  scheduler::Settings out;
   out.on = true;
   out.teams.resize(1);
   out.teams[0].name = "rest";
   for (std::size_t i = 0; i < kMembers; ++i) {
-    queues::Team team;
+    scheduler::Team team;
     team.name = kMemberNames[i];
     team.share = kShares[i];
     team.level = {2, 1, 1};
@@ -107,9 +107,9 @@
   seen.left_open = world.core().open_requests();
   for (const Service& s : seen.services) {
     for (const auto& [quoted, came, at] : s.waits) {
-      const bool right = queues::quote_right(quoted, came);
+      const bool right = scheduler::quote_right(quoted, came);
       ++seen.quotes, seen.right += right;
-      if (quoted < queues::kShort && came < queues::kShort) continue;
+      if (quoted < scheduler::kShort && came < scheduler::kShort) continue;
       ++seen.long_quotes, seen.long_right += right;
     }
   }
@@ -138,23 +138,23 @@
 // An arrival and the next to go, with 100,000 waiting in 16 teams: mean of many.
 double decision_microseconds() {
   constexpr std::size_t kWaiting = 100'000, kTeams = 16, kRounds = 20'000;
-  queues::Settings settings;
+  scheduler::Settings settings;
   settings.on = true;
   settings.waiting = kWaiting + 10;
   settings.patience = 1, settings.most_wait = std::chrono::hours(1);
   for (std::size_t i = 0; i < kTeams; ++i) {
-    queues::Team team;
+    scheduler::Team team;
     team.name = numbered("t", i);
     team.share = 1.0 / kTeams;
     settings.teams.push_back(team);
     settings.team_of.push_back(i);
   }
   Time now{seconds(1000)};
-  queues::Queues queues(now, settings, 2);
+  scheduler::Scheduler queues(now, settings, 2);
   queues.cores(now, 1000);
   std::uint64_t last = 0;
   const auto arrive = [&] {
-    queues::Arrival a;
+    scheduler::Arrival a;
     a.query = policy::QueryId{++last};
     a.member = last % kTeams, a.cls = last % 2, a.estimated_work_s = 0.02;
     a.deadline = now + std::chrono::hours(1), a.wanted = now + seconds(60);
@@ -213,7 +213,7 @@
   trickle.member = 2, trickle.cls = kReport, trickle.work = 0.6, trickle.per_s = 1;
   trickle.patience = seconds(25), trickle.memory = 64, trickle.until = seconds(150);
   low.more = {trickle};
-  low.change = [](queues::Settings& q) {
+  low.change = [](scheduler::Settings& q) {
     q.teams[3].budget = 0;
     q.teams[3].level = {0, 0, 0};
   };
--- a/src/standin/deadline.h
+++ b/src/standin/deadline.h
@@ -21,15 +21,15 @@
   std::size_t engines = 16;
   double cores = 8;  // of each
   Duration length = std::chrono::seconds(180);
-  std::vector<Load> more;                         // beside the shape
-  std::function<void(queues::Settings&)> change;  // of the queues' settings
-  std::function<void(World&)> incidents;          // put on its timeline
+  std::vector<Load> more;                            // beside the shape
+  std::function<void(scheduler::Settings&)> change;  // of the queues' settings
+  std::function<void(World&)> incidents;             // put on its timeline
 };
 
 struct DeadlineSeen {
   std::vector<Load> loads;
   std::vector<Service> services;  // by load
-  queues::Figures figures;
+  scheduler::Figures figures;
   std::size_t left_open = 0;
   // In-time share of a class's first tries (of all teams, or of one).
   double in_time(std::size_t cls, std::size_t member = kMembersAll) const {
@@ -46,7 +46,7 @@
   double part_of(std::uint64_t Service::*got, std::size_t cls, std::size_t member) const;
 };
 
-queues::Settings teams_of_members();  // one team a member, lookups prompt
+scheduler::Settings teams_of_members();  // one team a member, lookups prompt
 DeadlineSeen play_deadline(const std::vector<Load>& traffic, const DeadlinePlay& play);
 
 // Prints the tables; true: it holds.
--- a/src/standin/door_measure.cpp
+++ b/src/standin/door_measure.cpp
@@ -10,13 +10,13 @@
 #include <memory>
 #include <vector>
 
-#include "door/door.h"
 #include "net/clock.h"
 #include "standin/allocations.h"
 #include "standin/engine_server.h"
 #include "standin/load_client.h"
 #include "standin/pool.h"
 #include "standin/served_program.h"
+#include "throttle/throttle.h"
 
 namespace yokestream::standin {
 namespace {
@@ -122,23 +122,23 @@
 };
 // A door with 10,000 waiting, each from an address of its own: one arrives, one ends, one goes.
 Cost cost_of_a_decision(std::uint64_t seed) {
-  door::Settings settings;
+  throttle::Settings settings;
   settings.on = true;
   settings.waiting = 12'000;
   settings.most_wait = std::chrono::hours(1);
   settings.patience = 1;
   settings.seed = seed;
-  door::Door door(settings, kMembers, 3);
+  throttle::Throttle door(settings, kMembers, 3);
   door.cores(16);
   Time now{std::chrono::seconds(1000)};
   std::uint64_t last = 0;
   std::deque<policy::QueryId> in;
   const auto arrive = [&] {
-    door::Arrival a;
+    throttle::Arrival a;
     a.query = policy::QueryId{++last};
     a.member = last % kMembers, a.client = last * 7919, a.estimated_work_s = 0.1;
     a.deadline = now + std::chrono::hours(2);
-    if (door.arrive(now, a).ruling == door::Ruling::pass) in.push_back(a.query);
+    if (door.arrive(now, a).ruling == throttle::Ruling::pass) in.push_back(a.query);
   };
   while (door.figures().waiting < 10'000) arrive();
   constexpr int kWarm = 20'000, kRounds = 100'000;
@@ -149,7 +149,7 @@
     now += std::chrono::microseconds(6000);
     if (!in.empty()) door.over(now, in.front(), {true, milliseconds(100), 0.1, false}), in.pop_front();
     while (const auto moved = door.next(now)) {
-      if (moved->verdict.ruling == door::Ruling::pass) in.push_back(moved->query);
+      if (moved->verdict.ruling == throttle::Ruling::pass) in.push_back(moved->query);
     }
     arrive();
   }
--- a/src/standin/scenarios.cpp
+++ b/src/standin/scenarios.cpp
@@ -78,7 +78,7 @@
   add("shares", "shares are edited in the flood: oasis-gaz gets most", {flood_of(kOasis)}, 0.3, length,
       [](World& world) {
         world.at(seconds(20), [&world] {
-          door::Settings door;
+          throttle::Settings door;
           door.on = true;
           door.weights = {0.1, 0.1, 0.8};
           world.configure(door);
--- a/src/standin/world.h
+++ b/src/standin/world.h
@@ -75,8 +75,8 @@
   void revive(std::size_t engine);
   void slow_all(double times);
   void freeze(Duration how_long);  // the core stands still, and hears all afterwards
-  void configure(const door::Settings& door) { core_->configure(now_, door); }
-  void configure(const queues::Settings& queues) { core_->configure(now_, queues); }
+  void configure(const throttle::Settings& door) { core_->configure(now_, door); }
+  void configure(const scheduler::Settings& queues) { core_->configure(now_, queues); }
   void leave() { hear(dispatch::BeginShutdown{}); }
 
   const std::vector<Service>& service() const { return service_; }
@@ -129,7 +129,7 @@
   void send_result(dispatch::SessionId, dispatch::CallId, dispatch::Result) override;
   void send_rejection(dispatch::SessionId, dispatch::CallId, Duration) override;
   void send_failure(dispatch::SessionId, dispatch::CallId, std::string_view) override;
-  void attach_quote(dispatch::SessionId, dispatch::CallId, const queues::Quote&) override;
+  void attach_quote(dispatch::SessionId, dispatch::CallId, const scheduler::Quote&) override;
   void send_readiness(dispatch::SessionId, dispatch::CallId, bool) override {}
   void close(dispatch::SessionId session) override;
   bool close_if_idle(dispatch::SessionId session) override { return close(session), true; }
--- a/src/door/capacity.cpp
+++ b/src/throttle/capacity.cpp
@@ -1,11 +1,11 @@
-#include "door/capacity.h"
+#include "throttle/capacity.h"
 
 #include <algorithm>
 #include <cmath>
 
 #include "base/seconds.h"
 
-namespace yokestream::door {
+namespace yokestream::throttle {
 namespace {
 
 constexpr Duration kWindow = std::chrono::milliseconds(200);
@@ -100,4 +100,4 @@
   window_count_ = 0;
 }
 
-}  // namespace yokestream::door
+}  // namespace yokestream::throttle
--- a/src/door/capacity.h
+++ b/src/throttle/capacity.h
@@ -11,10 +11,10 @@
 #include <cstddef>
 #include <vector>
 
-#include "door/outcome.h"
-#include "door/settings.h"
+#include "throttle/outcome.h"
+#include "throttle/settings.h"
 
-namespace yokestream::door {
+namespace yokestream::throttle {
 
 class Capacity {
  public:
@@ -53,4 +53,4 @@
   int window_count_ = 0;
 };
 
-}  // namespace yokestream::door
+}  // namespace yokestream::throttle
--- a/src/door/clients.cpp
+++ b/src/throttle/clients.cpp
@@ -1,11 +1,11 @@
-#include "door/clients.h"
+#include "throttle/clients.h"
 
 #include <xxhash.h>
 
 #include <algorithm>
 #include <cmath>
 
-namespace yokestream::door {
+namespace yokestream::throttle {
 namespace {
 
 constexpr Duration kSeedFor = std::chrono::seconds(5);
@@ -39,4 +39,4 @@
   return XXH3_64bits_withSeed(&client, sizeof client, seed_) % kHashed;
 }
 
-}  // namespace yokestream::door
+}  // namespace yokestream::throttle
--- a/src/door/clients.h
+++ b/src/throttle/clients.h
@@ -11,9 +11,9 @@
 #include <cstdint>
 #include <vector>
 
-#include "door/settings.h"
+#include "throttle/settings.h"
 
-namespace yokestream::door {
+namespace yokestream::throttle {
 
 class Clients {
  public:
@@ -37,4 +37,4 @@
   std::vector<Member> members_;
 };
 
-}  // namespace yokestream::door
+}  // namespace yokestream::throttle
--- a/src/door/cost.cpp
+++ b/src/throttle/cost.cpp
@@ -1,9 +1,9 @@
-#include "door/cost.h"
+#include "throttle/cost.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace yokestream::door {
+namespace yokestream::throttle {
 namespace {
 
 constexpr double kStep = 0.1;      // weight of one outcome once there are many
@@ -45,4 +45,4 @@
   take(pairs_[pair(member, cls)], told, real);
 }
 
-}  // namespace yokestream::door
+}  // namespace yokestream::throttle
--- a/src/door/cost.h
+++ b/src/throttle/cost.h
@@ -10,7 +10,7 @@
 #include <cstddef>
 #include <vector>
 
-namespace yokestream::door {
+namespace yokestream::throttle {
 
 class Cost {
  public:
@@ -34,4 +34,4 @@
   std::vector<Kind> kinds_, pairs_;
 };
 
-}  // namespace yokestream::door
+}  // namespace yokestream::throttle
--- a/src/door/fair_queue.cpp
+++ b/src/throttle/fair_queue.cpp
@@ -1,8 +1,8 @@
-#include "door/fair_queue.h"
+#include "throttle/fair_queue.h"
 
 #include <algorithm>
 
-namespace yokestream::door {
+namespace yokestream::throttle {
 
 FairQueue::FairQueue(std::size_t members, std::size_t entries) : slab_(entries), members_(members) {
   heap_.reserve(entries);
@@ -155,4 +155,4 @@
   heap_down(slab_[last].heap_at);
 }
 
-}  // namespace yokestream::door
+}  // namespace yokestream::throttle
--- a/src/door/fair_queue.h
+++ b/src/throttle/fair_queue.h
@@ -18,10 +18,10 @@
 #include <optional>
 #include <vector>
 
-#include "door/clients.h"
-#include "door/settings.h"
+#include "throttle/clients.h"
+#include "throttle/settings.h"
 
-namespace yokestream::door {
+namespace yokestream::throttle {
 
 class FairQueue {
  public:
@@ -105,4 +105,4 @@
   double reached_ = 0;  // virtual time: the start of what went last
 };
 
-}  // namespace yokestream::door
+}  // namespace yokestream::throttle
--- a/src/door/outcome.h
+++ b/src/throttle/outcome.h
@@ -5,7 +5,7 @@
 
 #include "yokestream/policy/admission_controller.h"
 
-namespace yokestream::door {
+namespace yokestream::throttle {
 
 struct Outcome {
   bool ran = false;         // did any engine work for it?
@@ -36,4 +36,4 @@
   return out;
 }
 
-}  // namespace yokestream::door
+}  // namespace yokestream::throttle
--- a/src/door/places.cpp
+++ b/src/throttle/places.cpp
@@ -1,8 +1,8 @@
-#include "door/places.h"
+#include "throttle/places.h"
 
 #include <algorithm>
 
-namespace yokestream::door {
+namespace yokestream::throttle {
 
 Places::Places(std::size_t capacity, Duration keep)
     : keep_(keep), slots_((std::max(capacity, kWays) + kWays - 1) / kWays * kWays) {}
@@ -40,4 +40,4 @@
   return s->place;
 }
 
-}  // namespace yokestream::door
+}  // namespace yokestream::throttle
--- a/src/door/places.h
+++ b/src/throttle/places.h
@@ -11,9 +11,9 @@
 #include <optional>
 #include <vector>
 
-#include "door/settings.h"
+#include "throttle/settings.h"
 
-namespace yokestream::door {
+namespace yokestream::throttle {
 
 class Places {
  public:
@@ -44,4 +44,4 @@
   std::size_t kept_ = 0;
 };
 
-}  // namespace yokestream::door
+}  // namespace yokestream::throttle
--- a/src/door/settings.h
+++ b/src/throttle/settings.h
@@ -7,7 +7,7 @@
 
 #include "yokestream/policy/admission_controller.h"
 
-namespace yokestream::door {
+namespace yokestream::throttle {
 
 using policy::Duration;
 using policy::QueryId;
@@ -30,4 +30,4 @@
   std::uint64_t seed = 0;
 };
 
-}  // namespace yokestream::door
+}  // namespace yokestream::throttle
--- a/src/door/door.cpp
+++ b/src/throttle/throttle.cpp
@@ -1,4 +1,4 @@
-#include "door/door.h"
+#include "throttle/throttle.h"
 
 #include <xxhash.h>
 
@@ -8,7 +8,7 @@
 
 #include "base/seconds.h"
 
-namespace yokestream::door {
+namespace yokestream::throttle {
 namespace {
 
 constexpr Duration kEarly =
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-Door::Door(Settings settings, std::size_t members, std::size_t classes)
+Throttle::Throttle(Settings settings, std::size_t members, std::size_t classes)
     : settings_(std::move(settings)),
       capacity_(classes, settings_.threads_per_core),
       cost_(std::max<std::size_t>(members, 1), classes),
@@ -43,7 +43,7 @@
   configure(settings_);
 }
 
-void Door::configure(const Settings& settings) {
+void Throttle::configure(const Settings& settings) {
   settings_ = settings;
   weights_ = 0;
   for (std::size_t i = 0; i < members_.size(); ++i) {
@@ -52,14 +52,14 @@
   }
 }
 
-std::size_t Door::bytes(const Settings& settings, std::size_t members) {
+std::size_t Throttle::bytes(const Settings& settings, std::size_t members) {
   return FairQueue::bytes(members, settings.waiting) + settings.places * 32 +
          members * (Clients::kHeavy * 24 + sizeof(Member)) + settings.waiting * 96;
 }
 
 // A member within its share may fill the bound; the others leave a part of it free, so that a share that
 // comes back finds room at once and not when a long query ends.
-bool Door::may_pass(std::size_t member, double threads) const {
+bool Throttle::may_pass(std::size_t member, double threads) const {
   if (threads_in_ == 0) return true;
   const double bound = capacity_.bound() * settings_.room;
   const bool within = members_[member].threads_in + threads <= std::max(threads, share(member) * bound);
@@ -67,7 +67,7 @@
 }
 
 // Its part of what engines finish, by weight among the members that ask now.
-double Door::rate_of(Time now, std::size_t member) const {
+double Throttle::rate_of(Time now, std::size_t member) const {
   double asking = queue_.weight(member);
   for (std::size_t i = 0; i < members_.size(); ++i) {
     const Member& m = members_[i];
@@ -77,11 +77,11 @@
   return capacity_.drain_rate() * queue_.weight(member) / asking;
 }
 
-Duration Door::service_time(const Arrival& arrival, double cost) const {
+Duration Throttle::service_time(const Arrival& arrival, double cost) const {
   return from_seconds(cost / arrival.threads * std::clamp(capacity_.stretch(), 1.0, kMostStretch));
 }
 
-void Door::enter(Time now, QueryId query, const In& in) {
+void Throttle::enter(Time now, QueryId query, const In& in) {
   Member& m = members_[in.member];
   m.threads_in += in.threads;
   ++m.in;
@@ -92,7 +92,7 @@
 
 // The places of a queue are booked one after another, at the pace at which its turns come: what a greedy
 // client asked for stands in the way of its own next requests and of nobody else's.
-Verdict Door::turn_away(Time now, std::size_t member, std::size_t queue, std::uint64_t key, double cost) {
+Verdict Throttle::turn_away(Time now, std::size_t member, std::size_t queue, std::uint64_t key, double cost) {
   ++figures_.turned_away;
   const double rate = rate_of(now, member);
   Time& booked = members_[member].booked[queue];
@@ -110,7 +110,7 @@
   return {Ruling::turn_away, std::max(kLeastHint, from_seconds(hint)), 0};
 }
 
-Verdict Door::arrive(Time now, const Arrival& arrival) {
+Verdict Throttle::arrive(Time now, const Arrival& arrival) {
   ++figures_.arrived;
   const std::size_t member = std::min(arrival.member, members_.size() - 1);
   Member& m = members_[member];
@@ -159,7 +159,7 @@
   return {Ruling::wait, {}, cost};
 }
 
-Moved Door::put_out(Time now, FairQueue::Ref ref) {
+Moved Throttle::put_out(Time now, FairQueue::Ref ref) {
   const FairQueue::Entry entry = queue_.remove(ref);
   const auto it = waits_.find(entry.query);
   const std::uint64_t key = it->second.key;
@@ -167,7 +167,7 @@
   return {entry.query, turn_away(now, entry.member, entry.queue, key, entry.cost)};
 }
 
-void Door::over(Time now, QueryId query, const Outcome& outcome) {
+void Throttle::over(Time now, QueryId query, const Outcome& outcome) {
   const auto settled = settle(waits_, queue_, in_, query);
   if (!settled) return;
   const In& in = *settled;
@@ -179,7 +179,7 @@
   capacity_.over(now, in.cls, in.threads, in.cost, outcome, queue_.size() > 0);
 }
 
-std::optional<Moved> Door::next(Time now) {
+std::optional<Moved> Throttle::next(Time now) {
   capacity_.tick(now, queue_.size() > 0);
   if (!evicted_.empty()) {
     const Moved out = evicted_.back();
@@ -198,13 +198,13 @@
   return Moved{entry->query, {Ruling::pass, {}, entry->cost}};
 }
 
-Time Door::next_due(Time now) const {
+Time Throttle::next_due(Time now) const {
   if (!evicted_.empty()) return now;
   if (queue_.size() == 0) return Time::max();
   return std::min(queue_.at(queue_.earliest()).until, now + kLook);
 }
 
-Figures Door::figures() const {
+Figures Throttle::figures() const {
   Figures f = figures_;
   f.waiting = queue_.size();
   f.in = in_.size();
@@ -216,4 +216,4 @@
   return f;
 }
 
-}  // namespace yokestream::door
+}  // namespace yokestream::throttle
--- a/src/door/door.h
+++ b/src/throttle/throttle.h
@@ -25,15 +25,15 @@
 #include <unordered_map>
 #include <vector>
 
-#include "door/capacity.h"
-#include "door/clients.h"
-#include "door/cost.h"
-#include "door/fair_queue.h"
-#include "door/outcome.h"
-#include "door/places.h"
-#include "door/settings.h"
+#include "throttle/capacity.h"
+#include "throttle/clients.h"
+#include "throttle/cost.h"
+#include "throttle/fair_queue.h"
+#include "throttle/outcome.h"
+#include "throttle/places.h"
+#include "throttle/settings.h"
 
-namespace yokestream::door {
+namespace yokestream::throttle {
 
 struct Arrival {
   QueryId query{};
@@ -63,9 +63,9 @@
   double bound = 0, threads_in = 0, drain_rate = 0, stretch = 1;
 };
 
-class Door {
+class Throttle {
  public:
-  Door(Settings settings, std::size_t members, std::size_t classes);
+  Throttle(Settings settings, std::size_t members, std::size_t classes);
 
   void configure(const Settings& settings);  // weights, times and hints take effect at once; sizes do not
   void cores(double cores) { capacity_.cores(cores); }
@@ -123,4 +123,4 @@
   Figures figures_;
 };
 
-}  // namespace yokestream::door
+}  // namespace yokestream::throttle
--- a/tests/node/planner_test.cpp
+++ b/tests/node/budget_planner_test.cpp
@@ -1,5 +1,5 @@
 // The planner against what can be worked out by hand and against a plain greedy reference.
-#include "planner/planner.h"
+#include "budget_planner/budget_planner.h"
 
 #include <doctest/doctest.h>
 
@@ -10,14 +10,14 @@
 namespace yokestream::test {
 namespace {
 
-using namespace planner;
+using namespace budget_planner;
 
 Question question_of(std::size_t teams) {
   Question q;
   q.cores = 10, q.use = 1;
   q.worth = {1, 8};
   for (std::size_t i = 0; i < teams; ++i) {
-    queues::Team t;
+    scheduler::Team t;
     t.name = "t" + std::to_string(i);
     q.teams.push_back(t);
   }
--- a/tests/node/deadline_test.cpp
+++ b/tests/node/deadline_test.cpp
@@ -81,7 +81,7 @@
     check_rules(seen);
     CHECK(seen.figures.sunk > 0);
     kept += seen.in_time(kLookup) / good.in_time(kLookup) / 3;
-    play.change = [](queues::Settings& q) { q.sink = 100; };
+    play.change = [](scheduler::Settings& q) { q.sink = 100; };
     without += play_deadline(bad, play).in_time(kLookup) / good.in_time(kLookup) / 3;
   }
   CHECK(kept > 0.9);
--- a/tests/node/queues_test.cpp
+++ b/tests/node/scheduler_test.cpp
@@ -1,5 +1,5 @@
 // The queues' parts against plain references: random steps from fixed seeds, a clock of our own.
-#include "queues/queues.h"
+#include "scheduler/scheduler.h"
 
 #include <doctest/doctest.h>
 
@@ -13,14 +13,14 @@
 namespace {
 
 using namespace std::chrono_literals;
-using namespace queues;
+using namespace scheduler;
 
 constexpr Time kStart{Duration(1000s)};
 double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 Duration from_seconds(double s) { return Duration(static_cast<Duration::rep>(s * 1e9)); }
 
-queues::Team team(const char* name, double share, std::vector<unsigned> level = {1, 1}) {
-  queues::Team t;
+scheduler::Team team(const char* name, double share, std::vector<unsigned> level = {1, 1}) {
+  scheduler::Team t;
   t.name = name, t.share = share, t.level = std::move(level);
   return t;
 }
@@ -40,7 +40,7 @@
 struct Rig {
   Rig(const Settings& s, double cores_) : cores(cores_), queues(kStart, s, 2) { queues.cores(now, cores_); }
   double cores;
-  Queues queues;
+  Scheduler queues;
   Time now = kStart;
   std::uint64_t last = 0;
   std::map<QueryId, double> runs;  // work left
@@ -90,7 +90,7 @@
       }
       for (const QueryId q : done) {
         runs.erase(q);
-        door::Outcome o;
+        throttle::Outcome o;
         o.ran = true, o.took = now - came[q], o.real = costs[q];
         queues.over(now, q, o);
       }
@@ -348,7 +348,7 @@
   for (int i = 0; i < 200; ++i) rig.arrive(static_cast<std::size_t>(i) % 2, 0.1), rig.pass(10ms);
   const Snapshot kept = rig.queues.snapshot(rig.now);
   REQUIRE(kept.waiting.size() > 10);
-  Queues other(kStart + 500s, settings({0.5, 0.5}), 2);
+  Scheduler other(kStart + 500s, settings({0.5, 0.5}), 2);
   other.cores(kStart + 500s, 2);
   CHECK(other.restore(kStart + 500s, kept).empty());
   const Snapshot again = other.snapshot(kStart + 500s);
@@ -366,7 +366,7 @@
     CHECK(again.balances[i].budget == doctest::Approx(kept.balances[i].budget));
   Settings small = settings({0.5, 0.5});
   small.waiting = 5;
-  Queues full(kStart, small, 2);
+  Scheduler full(kStart, small, 2);
   CHECK(full.restore(kStart, kept).size() == kept.waiting.size() - 5);
 }
 
--- a/tests/node/door_test.cpp
+++ b/tests/node/throttle_test.cpp
@@ -1,5 +1,5 @@
 // The door's deciders, each against a plain reference or its stated bounds. Pure: no clock but the test's.
-#include "door/door.h"
+#include "throttle/throttle.h"
 
 #include <doctest/doctest.h>
 
@@ -12,11 +12,11 @@
 namespace yokestream::test {
 namespace {
 
-using door::Arrival;
-using door::Door;
-using door::FairQueue;
-using door::QueryId;
-using door::Ruling;
+using throttle::Arrival;
+using throttle::FairQueue;
+using throttle::QueryId;
+using throttle::Ruling;
+using throttle::Throttle;
 
 constexpr Time kStart{Duration(1000s)};
 
@@ -121,7 +121,7 @@
 }
 
 TEST_CASE("a kind that lies is charged the truth, by member") {
-  door::Cost cost(2, 1);
+  throttle::Cost cost(2, 1);
   for (int i = 0; i < 60; ++i) {
     cost.learn(0, 0, 0.1, 0.1);
     cost.learn(1, 0, 0.01, 0.1);
@@ -133,7 +133,7 @@
 
 TEST_CASE("greedy clients get queues of their own; a hundred thousand others cost no memory") {
   const std::size_t members = 3;
-  door::Clients clients(members, 7);
+  throttle::Clients clients(members, 7);
   Steps steps(3);
   Time now = kStart;
   std::size_t apart = 0, seen = 0;
@@ -142,22 +142,22 @@
     clients.queue(now, 1, 1000 + steps.below(100'000), 1);
     if (i % 2) continue;
     const auto queue = clients.queue(now, 1, 5, 1);  // a third of all
-    ++seen, apart += queue >= door::Clients::kHashed;
+    ++seen, apart += queue >= throttle::Clients::kHashed;
   }
   CHECK(static_cast<double>(apart) > 0.99 * static_cast<double>(seen));
   // The bound, as the operators' page states it.
-  CHECK(Door::bytes(door::Settings{}, members) < 1'500'000);
+  CHECK(Throttle::bytes(throttle::Settings{}, members) < 1'500'000);
 }
 
 TEST_CASE("who shares a queue with another changes with the seed") {
-  door::Clients clients(1, 9);
+  throttle::Clients clients(1, 9);
   std::set<std::size_t> queues;
   for (int i = 0; i < 40; ++i) queues.insert(clients.queue(kStart + i * 6s, 0, 77, 1e-9));
   CHECK(queues.size() > 5);
 }
 
 TEST_CASE("places are kept until they expire, and a full table keeps no more") {
-  door::Places places(16, 100ms);
+  throttle::Places places(16, 100ms);
   CHECK(places.keep(kStart, 1, {kStart + 1s, 1}));
   CHECK(places.find(kStart, 1).has_value());
   CHECK_FALSE(places.find(kStart, 2).has_value());
@@ -171,7 +171,7 @@
 
 TEST_CASE("capacity: half the engines gone or all slow shows in the bound within 3 s, and it recovers") {
   for (const double times : {2.0, 2.5}) {
-    door::Capacity capacity(1, 2);
+    throttle::Capacity capacity(1, 2);
     capacity.cores(16);
     Time now = kStart;
     const auto run = [&](Duration length, double slow) {
@@ -196,8 +196,8 @@
 
 // A door before engines that finish `rate` requests of 0.1 s a second when enough is in.
 struct Site {
-  explicit Site(door::Settings settings = {}) : door((settings.on = true, settings), 3, 2) { door.cores(4); }
-  Door door;
+  explicit Site(throttle::Settings s = {}) : door((s.on = true, s), 3, 2) { door.cores(4); }
+  Throttle door;
   Time now = kStart;
   std::uint64_t last = 0;
   std::deque<QueryId> in;
@@ -286,7 +286,7 @@
 }
 
 TEST_CASE("a full door puts out the newest of who has most waiting, not who comes") {
-  door::Settings settings;
+  throttle::Settings settings;
   settings.waiting = 8;
   settings.most_wait = 60s;
   Site site(settings);
@@ -335,7 +335,7 @@
 TEST_CASE("new weights count from the next request on; a member that is not known counts as the last one") {
   Site site;
   site.fill();
-  door::Settings settings;
+  throttle::Settings settings;
   settings.on = true;
   settings.weights = {0.01, 0.01, 0.98};
   site.door.configure(settings);
