--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -85,7 +85,7 @@
   const std::size_t sizes = settings_.waiting;
   const auto& teams = settings_.teams;
   const bool same = std::equal(teams.begin(), teams.end(), settings.teams.begin(), settings.teams.end(),
-                               [](const Team& a, const Team& b) { return a.name == b.name; });
+                               [](const auto& a, const auto& b) { return a.name == b.name; });
   settings_ = settings;
   settings_.waiting = sizes;  // made at the start
   std::vector<Team> before = std::move(teams_);
