--- a/src/budget_planner/budget_planner.cpp
+++ b/src/budget_planner/budget_planner.cpp
@@ -62,22 +62,22 @@
 
 }  // namespace
 
-Proposal propose(const Question& question) {
-  const double capacity = question.cores * question.use;
+BudgetPlan plan_budgets(const PlanInput& question) {
+  const double capacity = question.cores * question.utilization;
   if (!(capacity > 0)) throw std::invalid_argument("cores: the engines have none");
   const std::size_t count = question.teams.size();
   Programme programme;
-  Proposal out;
+  BudgetPlan out;
   out.teams.resize(count);
   std::vector<std::vector<int>> served(count);
   std::vector<int> all, missing(count);
-  for (const Expected& e : question.traffic) {
-    if (e.team >= count || e.cls >= question.worth.size())
+  for (const TrafficStream& e : question.traffic) {
+    if (e.team >= count || e.cls >= question.class_values.size())
       throw std::invalid_argument("traffic: no such team or class");
     if (!(e.work_s > 0) || e.per_s < 0) throw std::invalid_argument("traffic: work_s must be above 0");
     const double asked = e.per_s * e.work_s;
-    out.teams[e.team].asked += asked;
-    served[e.team].push_back(programme.column(asked, question.worth[e.cls] / e.work_s));
+    out.teams[e.team].demand += asked;
+    served[e.team].push_back(programme.column(asked, question.class_values[e.cls] / e.work_s));
     all.push_back(served[e.team].back());
   }
   programme.row(all, GLP_UP, 0, capacity);
@@ -86,7 +86,7 @@
     double asked = 0;
     for (const std::size_t node : with_teams_of(question.teams, i)) {
       mine.insert(mine.end(), served[node].begin(), served[node].end());
-      asked += out.teams[node].asked;
+      asked += out.teams[node].demand;
     }
     const double floor = std::min(question.teams[i].floor * capacity, asked);
     if (!mine.empty()) programme.row(mine, GLP_UP, 0, question.teams[i].ceiling * capacity);
@@ -97,29 +97,29 @@
   }
   programme.solve();
   std::size_t stream = 0;
-  for (const Expected& e : question.traffic) {
+  for (const TrafficStream& e : question.traffic) {
     const double x = programme.value(all[stream++]);
     out.teams[e.team].served += x;
-    out.worth += x * question.worth[e.cls] / e.work_s;
+    out.value += x * question.class_values[e.cls] / e.work_s;
   }
   for (std::size_t i = 0; i < count; ++i) {
-    out.teams[i].missing = std::max(0.0, programme.value(missing[i]));
-    out.missing += out.teams[i].missing;
+    out.teams[i].shortfall = std::max(0.0, programme.value(missing[i]));
+    out.shortfall += out.teams[i].shortfall;
   }
   return out;
 }
 
-std::vector<Expected> read_expected(const std::string& text, const std::vector<std::string>& owners,
-                                    const std::vector<std::string>& classes,
-                                    const std::vector<std::size_t>& team_of) {
-  std::vector<Expected> out;
+std::vector<TrafficStream> read_traffic(const std::string& text, const std::vector<std::string>& owners,
+                                        const std::vector<std::string>& classes,
+                                        const std::vector<std::size_t>& team_of) {
+  std::vector<TrafficStream> out;
   csv::read(text, 4, [&](const csv::Cells& cells) {
     if (out.empty() && cells[0] == "owner") return;  // the heading
     const auto owner = std::find(owners.begin(), owners.end(), cells[0]);
     const auto cls = std::find(classes.begin(), classes.end(), cells[1]);
     if (owner == owners.end()) throw std::runtime_error("no owner " + cells[0]);
     if (cls == classes.end()) throw std::runtime_error("no class " + cells[1]);
-    Expected e;
+    TrafficStream e;
     e.team = team_of.at(static_cast<std::size_t>(owner - owners.begin()));
     e.cls = static_cast<std::size_t>(cls - classes.begin());
     e.per_s = csv::number(cells[2]);
@@ -130,18 +130,18 @@
   return out;
 }
 
-std::string to_jsonnet(const Question& question, const Proposal& proposal, policy::Duration span) {
+std::string to_jsonnet(const PlanInput& question, const BudgetPlan& proposal, policy::Duration span) {
   const double span_s = std::chrono::duration<double>(span).count();
   std::string out = "// Proposed by `yokestream plan`: merge it into the operator file.\n";
   out += fmt::format("// Engines give {:.2f} engine-seconds a second; this is worth {:.1f} a second.\n",
-                     question.cores * question.use, proposal.worth);
-  if (proposal.missing > kNothing) {
+                     question.cores * question.utilization, proposal.value);
+  if (proposal.shortfall > kNothing) {
     out += fmt::format("// The floors cannot be met together: {:.3f} engine-seconds a second are missing.\n",
-                       proposal.missing);
+                       proposal.shortfall);
     for (std::size_t i = 0; i < question.teams.size(); ++i) {
-      if (proposal.teams[i].missing > kNothing)
+      if (proposal.teams[i].shortfall > kNothing)
         out += fmt::format("//   {}: {:.3f} missing of its floor\n", question.teams[i].name,
-                           proposal.teams[i].missing);
+                           proposal.teams[i].shortfall);
     }
   }
   out += fmt::format("{{\n  queues+: {{\n    span_ms: {},\n    teams+: {{\n",
@@ -149,7 +149,7 @@
   for (std::size_t i = 0; i < question.teams.size(); ++i) {
     double served = 0, asked = 0;
     for (const std::size_t node : with_teams_of(question.teams, i))
-      served += proposal.teams[node].served, asked += proposal.teams[node].asked;
+      served += proposal.teams[node].served, asked += proposal.teams[node].demand;
     if (asked <= kNothing && question.teams[i].name == "rest") continue;
     out += fmt::format("      '{}'+: {{ budget_s: {:.1f} }},  // asked for: {:.1f}\n", question.teams[i].name,
                        served * span_s, asked * span_s);
--- a/src/budget_planner/budget_planner.h
+++ b/src/budget_planner/budget_planner.h
@@ -17,35 +17,35 @@
 
 namespace yokestream::budget_planner {
 
-struct Expected {  // a stream of requests
+struct TrafficStream {  // a stream of requests
   std::size_t team = 0, cls = 0;
   double per_s = 0;   // requests a second
   double work_s = 0;  // engine-seconds a request
 };
-struct Question {
-  double cores = 1;   // that the engines have
-  double use = 0.85;  // part of them that work gets; 0 to 1
+struct PlanInput {
+  double cores = 1;           // that the engines have
+  double utilization = 0.85;  // part of them that work gets; 0 to 1
   std::vector<scheduler::Team> teams;
-  std::vector<double> worth;  // by class
-  std::vector<Expected> traffic;
+  std::vector<double> class_values;  // by class
+  std::vector<TrafficStream> traffic;
 };
-struct Proposal {
+struct BudgetPlan {
   struct Share {
-    double asked = 0, served = 0;  // engine-seconds a second
-    double missing = 0;            // of its floor, the same
+    double demand = 0, served = 0;  // engine-seconds a second
+    double shortfall = 0;           // of its floor, the same
   };
   std::vector<Share> teams;  // by position
-  double worth = 0;          // a second
-  double missing = 0;        // of all floors
+  double value = 0;          // a second
+  double shortfall = 0;      // of all floors
 };
 
-Proposal propose(const Question& question);
+BudgetPlan plan_budgets(const PlanInput& question);
 
 // CSV: a heading, then owner,class,per_s,work_s. Throws std::runtime_error naming the line.
-std::vector<Expected> read_expected(const std::string& text, const std::vector<std::string>& owners,
-                                    const std::vector<std::string>& classes,
-                                    const std::vector<std::size_t>& team_of);
+std::vector<TrafficStream> read_traffic(const std::string& text, const std::vector<std::string>& owners,
+                                        const std::vector<std::string>& classes,
+                                        const std::vector<std::size_t>& team_of);
 // The proposal as a part of an operator file, Jsonnet; floors that cannot be met are told in comments.
-std::string to_jsonnet(const Question& question, const Proposal& proposal, policy::Duration span);
+std::string to_jsonnet(const PlanInput& question, const BudgetPlan& proposal, policy::Duration span);
 
 }  // namespace yokestream::budget_planner
--- a/src/cli/plan.cpp
+++ b/src/cli/plan.cpp
@@ -14,19 +14,19 @@
          double use) {
   const auto both = operator_file::read_both(config, operators);
   const std::string text = csv::read_file(traffic);
-  budget_planner::Question question;
-  question.cores = cores, question.use = use;
+  budget_planner::PlanInput question;
+  question.cores = cores, question.utilization = use;
   question.teams = both.operators.queues.teams;
-  for (const auto& cls : both.config.settings.classes) question.worth.push_back(cls.priority_weight);
+  for (const auto& cls : both.config.settings.classes) question.class_values.push_back(cls.priority_weight);
   try {
-    question.traffic = budget_planner::read_expected(text, both.config.real.tenants, both.config.real.classes,
-                                                     both.operators.queues.team_of);
+    question.traffic = budget_planner::read_traffic(text, both.config.real.tenants, both.config.real.classes,
+                                                    both.operators.queues.team_of);
   } catch (const std::runtime_error& problem) {
     throw config::ConfigError(traffic, problem.what());
   }
-  const auto proposal = budget_planner::propose(question);
+  const auto proposal = budget_planner::plan_budgets(question);
   std::cout << budget_planner::to_jsonnet(question, proposal, both.operators.queues.span);
-  return proposal.missing > 1e-9 ? 2 : 0;
+  return proposal.shortfall > 1e-9 ? 2 : 0;
 }
 
 }  // namespace
--- a/src/dispatch/admission_stages.cpp
+++ b/src/dispatch/admission_stages.cpp
@@ -16,7 +16,7 @@
 // Where the scheduler stands behind the throttle, that one admits more than runs: the scheduler queues it.
 throttle::Settings throttle_settings(const config::Config& config) {
   throttle::Settings settings = config.door;
-  if (config.queues.on) settings.room = config.queues.room;
+  if (config.queues.on) settings.limit_multiplier = config.queues.room;
   return settings;
 }
 
@@ -35,9 +35,9 @@
 
 void AdmissionStages::configure_throttle(const throttle::Settings& settings) {
   if (!throttle_ || !settings.on) return;
-  throttle::Settings with_room = settings;
-  with_room.room = throttle_->room();
-  throttle_->configure(with_room);
+  throttle::Settings with_limit = settings;
+  with_limit.limit_multiplier = throttle_->limit_multiplier();
+  throttle_->configure(with_limit);
 }
 
 void AdmissionStages::configure_scheduler(Time now, const scheduler::Settings& settings) {
@@ -45,21 +45,21 @@
 }
 
 void AdmissionStages::set_cores(Time now, double cores) {
-  if (throttle_) throttle_->cores(cores);
+  if (throttle_) throttle_->set_cores(cores);
   if (scheduler_) scheduler_->cores(now, cores);
 }
 
-throttle::Verdict AdmissionStages::offer_to_throttle(Time now, QueryId query, const RequestReceived& request,
-                                                     std::uint64_t origin) {
+throttle::Admission AdmissionStages::offer_to_throttle(Time now, QueryId query,
+                                                       const RequestReceived& request, std::uint64_t origin) {
   throttle::Arrival arrival;
   arrival.query = query;
-  arrival.member = static_cast<std::size_t>(request.tenant);
-  arrival.cls = static_cast<std::size_t>(request.query_class);
-  arrival.client = config_.door.by_connection ? static_cast<std::uint64_t>(request.session) : origin;
+  arrival.tenant = static_cast<std::size_t>(request.tenant);
+  arrival.query_class = static_cast<std::size_t>(request.query_class);
+  arrival.client = config_.door.client_per_connection ? static_cast<std::uint64_t>(request.session) : origin;
   arrival.estimated_work_s = request.work ? seconds_of(*request.work) : 0;
   arrival.threads = class_of(request).threads;
   arrival.deadline = request.deadline;
-  return throttle_->arrive(now, arrival);
+  return throttle_->offer(now, arrival);
 }
 
 scheduler::Verdict AdmissionStages::offer_to_scheduler(Time now, QueryId query,
@@ -89,8 +89,8 @@
   return arrival;
 }
 
-std::optional<throttle::Moved> AdmissionStages::next_from_throttle(Time now) {
-  return throttle_ ? throttle_->next(now) : std::nullopt;
+std::optional<throttle::QueuedDecision> AdmissionStages::next_from_throttle(Time now) {
+  return throttle_ ? throttle_->next_decision(now) : std::nullopt;
 }
 
 std::optional<scheduler::Moved> AdmissionStages::next_from_scheduler(Time now) {
@@ -122,12 +122,12 @@
 }
 
 void AdmissionStages::on_request_finished(Time now, QueryId query, const throttle::Outcome& outcome) {
-  if (throttle_) throttle_->over(now, query, outcome);
+  if (throttle_) throttle_->on_request_finished(now, query, outcome);
   if (scheduler_) scheduler_->over(now, query, outcome);
 }
 
-std::optional<throttle::Figures> AdmissionStages::throttle_metrics() const {
-  return throttle_ ? std::optional(throttle_->figures()) : std::nullopt;
+std::optional<throttle::Metrics> AdmissionStages::throttle_metrics() const {
+  return throttle_ ? std::optional(throttle_->metrics()) : std::nullopt;
 }
 
 std::optional<scheduler::Figures> AdmissionStages::scheduler_metrics() const {
@@ -143,15 +143,16 @@
 
 // The keys are those of the operators' pages.
 void AdmissionStages::log_throttle_metrics() {
-  const throttle::Figures f = throttle_->figures();
-  if (std::exchange(logged_rejections_, f.turned_away) == f.turned_away) return;
+  const throttle::Metrics f = throttle_->metrics();
+  if (std::exchange(logged_rejections_, f.rejected) == f.rejected) return;
   std::ostringstream line;
   line.precision(3);
-  line << "door arrived=" << f.arrived << " passed_at_once=" << f.passed_at_once << " waited=" << f.waited
-       << " turned_away=" << f.turned_away << " early=" << f.early << " kept=" << f.kept
-       << " kept_in=" << f.kept_in << " waiting=" << f.waiting << " in=" << f.in << " places=" << f.places
-       << " bound=" << f.bound << " threads_in=" << f.threads_in << " drain_rate=" << f.drain_rate
-       << " stretch=" << f.stretch;
+  line << "door arrived=" << f.arrived << " passed_at_once=" << f.admitted_immediately
+       << " waited=" << f.queued << " turned_away=" << f.rejected << " early=" << f.early_retries
+       << " kept=" << f.reservations_claimed << " kept_in=" << f.reservations_admitted
+       << " waiting=" << f.queue_length << " in=" << f.in_flight << " places=" << f.reservations
+       << " bound=" << f.concurrency_limit << " threads_in=" << f.threads_in_flight
+       << " drain_rate=" << f.drain_rate << " stretch=" << f.stretch;
   log_.write(line.str());
 }
 
--- a/src/dispatch/admission_stages.h
+++ b/src/dispatch/admission_stages.h
@@ -32,14 +32,14 @@
   void set_cores(Time now, double cores);  // this manager's part of the engines
 
   // has_throttle() only. `origin`: the client's address as a number.
-  throttle::Verdict offer_to_throttle(Time now, policy::QueryId query, const RequestReceived& request,
-                                      std::uint64_t origin);
+  throttle::Admission offer_to_throttle(Time now, policy::QueryId query, const RequestReceived& request,
+                                        std::uint64_t origin);
   // has_scheduler() only. `cost_s`: core seconds by the throttle's estimate; 0: none.
   scheduler::Verdict offer_to_scheduler(Time now, policy::QueryId query, const RequestReceived& request,
                                         double cost_s);
   scheduler::Quote quote(Time now, const RequestReceived& request);  // has_scheduler() only
   // The next waiting request that is admitted or rejected; nullopt: none is.
-  std::optional<throttle::Moved> next_from_throttle(Time now);
+  std::optional<throttle::QueuedDecision> next_from_throttle(Time now);
   std::optional<scheduler::Moved> next_from_scheduler(Time now);
   Time next_due(Time now) const;  // Time::max(): neither stage waits for a time
 
@@ -52,7 +52,7 @@
   std::optional<scheduler::Bands::Change> next_band_change(Time now);
   void on_request_finished(Time now, policy::QueryId query, const throttle::Outcome& outcome);
 
-  std::optional<throttle::Figures> throttle_metrics() const;
+  std::optional<throttle::Metrics> throttle_metrics() const;
   std::optional<scheduler::Figures> scheduler_metrics() const;
   // Writes the stages' metrics to the log, every 10 s at most, while requests wait or are rejected.
   void log_metrics_if_due(Time now);
--- a/src/dispatch/attempt_tracker.cpp
+++ b/src/dispatch/attempt_tracker.cpp
@@ -51,10 +51,10 @@
     ended.work = duration_from_ms(*attempt.response.work_ms);
     ended.memory_mb = attempt.response.memory_mb;
   }
-  request.stage_outcome.ran |=
+  request.stage_outcome.executed |=
       outcome != Outcome::never_sent && outcome != Outcome::unreachable && outcome != Outcome::shed;
-  if (outcome == Outcome::served) request.stage_outcome.took = now - request.submitted_at;
-  if (ended.work) request.stage_outcome.real = std::chrono::duration<double>(*ended.work).count();
+  if (outcome == Outcome::served) request.stage_outcome.latency = now - request.submitted_at;
+  if (ended.work) request.stage_outcome.measured_work_s = std::chrono::duration<double>(*ended.work).count();
   use_.policy_events.push(std::move(ended));
   use_.requests.forget_if_done(query);
 }
--- a/src/dispatch/client_responder.cpp
+++ b/src/dispatch/client_responder.cpp
@@ -69,7 +69,7 @@
 void ClientResponder::handle(const policy::Reject& rejection) {
   Request* request = use_.requests.find(rejection.query);
   if (!request || request->answered) return;
-  request->stage_outcome.refused = true;
+  request->stage_outcome.rejected_by_policy = true;
   use_.routes.record_outcome(use_.clock.now(), *request, false);
   close_call(*request);
   reject(request->received, rejection.retry_after);
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -47,7 +47,7 @@
   void configure(Time now, const throttle::Settings& settings);
   void configure(Time now, const scheduler::Settings& settings);
   // What operators see of the stages; nullopt or nullptr: the stage is off.
-  std::optional<throttle::Figures> throttle_metrics() const { return stages_.throttle_metrics(); }
+  std::optional<throttle::Metrics> throttle_metrics() const { return stages_.throttle_metrics(); }
   std::optional<scheduler::Figures> scheduler_metrics() const { return stages_.scheduler_metrics(); }
   const scheduler::Scheduler* scheduler() const { return stages_.scheduler(); }
 
--- a/src/dispatch/request_admission.cpp
+++ b/src/dispatch/request_admission.cpp
@@ -30,7 +30,7 @@
     return use_.responder.reject(request, kOverloadedRetryAfter);
   keep_deadline_margin(request);
   const QueryId query = use_.requests.next_query_id();
-  throttle::Verdict verdict;
+  throttle::Admission verdict;
   if (use_.stages.has_throttle() && rejected_by_throttle(query, request, &verdict)) return;
   use_.sessions.on_request_opened(use_.clock.now(), request.session);
   Request entry;
@@ -39,7 +39,7 @@
   entry.received = std::move(request);
   entry.memory_reservation = std::move(memory);
   use_.requests.insert(query, std::move(entry));
-  if (verdict.ruling == throttle::Ruling::pass) after_throttle(query, verdict.cost);
+  if (verdict.decision == throttle::Decision::admit) after_throttle(query, verdict.cost);
 }
 
 bool RequestAdmission::answered_at_once(const RequestReceived& request) {
@@ -81,11 +81,11 @@
 }
 
 bool RequestAdmission::rejected_by_throttle(QueryId query, const RequestReceived& request,
-                                            throttle::Verdict* verdict) {
+                                            throttle::Admission* verdict) {
   *verdict =
       use_.stages.offer_to_throttle(use_.clock.now(), query, request, use_.sessions.origin(request.session));
-  if (verdict->ruling != throttle::Ruling::turn_away) return false;
-  use_.responder.reject(request, verdict->hint);
+  if (verdict->decision != throttle::Decision::reject) return false;
+  use_.responder.reject(request, verdict->retry_after);
   return true;
 }
 
@@ -134,10 +134,10 @@
 bool RequestAdmission::advance_throttle() {
   const auto moved = use_.stages.next_from_throttle(use_.clock.now());
   if (!moved) return false;
-  if (moved->verdict.ruling == throttle::Ruling::pass)
-    after_throttle(moved->query, moved->verdict.cost);
+  if (moved->admission.decision == throttle::Decision::admit)
+    after_throttle(moved->query, moved->admission.cost);
   else
-    use_.responder.reject_unsubmitted(moved->query, moved->verdict.hint);
+    use_.responder.reject_unsubmitted(moved->query, moved->admission.retry_after);
   return true;
 }
 
--- a/src/dispatch/request_admission.h
+++ b/src/dispatch/request_admission.h
@@ -47,7 +47,7 @@
  private:
   bool answered_at_once(const RequestReceived& request);
   bool rejected_by_throttle(policy::QueryId query, const RequestReceived& request,
-                            throttle::Verdict* verdict);
+                            throttle::Admission* verdict);
   void keep_deadline_margin(RequestReceived& request) const;
   void after_throttle(policy::QueryId query, double cost_s);
   void submit_to_policy(policy::QueryId query, double cost_s);
--- a/src/operator/read_door.cpp
+++ b/src/operator/read_door.cpp
@@ -32,18 +32,19 @@
   Section section(told, "door", values);
   throttle::Settings door;
   door.on = section.flag("on", door.on);
-  door.waiting = section.count("waiting", door.waiting, 1, 65'536);
-  door.places = section.count("places", door.places, 1, 65'536);
-  door.patience = section.number("patience", door.patience, 0, 1);
-  door.most_wait = section.time("most_wait_ms", door.most_wait, 0, 60'000);
-  door.most_hint = section.time("most_hint_ms", door.most_hint, 50, 3'600'000);
-  door.keep = section.time("keep_ms", door.keep, 20, 60'000);
-  door.by_connection = section.word("client_by", "address", {"address", "connection"}) == "connection";
-  door.reserve = section.number("reserve", door.reserve, 0, 0.5);
-  door.threads_per_core = section.number("threads_per_core", door.threads_per_core, 0.5, 16);
+  door.max_queued = section.count("waiting", door.max_queued, 1, 65'536);
+  door.max_reservations = section.count("places", door.max_reservations, 1, 65'536);
+  door.max_wait_fraction = section.number("patience", door.max_wait_fraction, 0, 1);
+  door.max_wait = section.time("most_wait_ms", door.max_wait, 0, 60'000);
+  door.max_retry_after = section.time("most_hint_ms", door.max_retry_after, 50, 3'600'000);
+  door.reservation_grace = section.time("keep_ms", door.reservation_grace, 20, 60'000);
+  door.client_per_connection =
+      section.word("client_by", "address", {"address", "connection"}) == "connection";
+  door.reserved_fraction = section.number("reserve", door.reserved_fraction, 0, 0.5);
+  door.initial_threads_per_core = section.number("threads_per_core", door.initial_threads_per_core, 0.5, 16);
   door.weights = read_weights(section.at("weights"), "door.weights", platform, values);
   door.seed = platform.seed;
-  door.most_hint = heeded(door.most_hint, platform);
+  door.max_retry_after = heeded(door.max_retry_after, platform);
   section.done();
   return door;
 }
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -107,7 +107,7 @@
   if (cores > 0 && cores_ > 0 && cores != cores_)
     pace_ *= cores / cores_, pace_windows_ = std::min(pace_windows_, kKnownWindows);
   if (cores > 0) cores_ = cores;
-  capacity_.cores(cores);
+  capacity_.set_cores(cores);
   if (pace_windows_ == 0) pace_ = capacity_.drain_rate();
   accounts_.capacity(now, pace_);
   order_.capacity(now, settings_.rescue * pace_);
@@ -182,13 +182,13 @@
 bool Scheduler::room(Time now, std::size_t team) {
   if (threads_in_ == 0) return true;
   const bool borrows = accounts_.standing(now, team) == Standing::borrowing;
-  return threads_in_ < capacity_.bound() * (borrows ? 1 - kReserve : 1);
+  return threads_in_ < capacity_.concurrency_limit() * (borrows ? 1 - kReserve : 1);
 }
 
 Scheduler::Expected Scheduler::expect(Time now, const Arrival& arrival, bool room) {
   Expected e;
   e.team = team_of(arrival.member);
-  e.typical = cost_.charge(arrival.member, arrival.cls, arrival.estimated_work_s);
+  e.typical = cost_.estimate_s(arrival.member, arrival.cls, arrival.estimated_work_s);
   e.cost = e.typical * teams_[e.team].surcharge[arrival.cls].factor();
   const double unloaded = e.typical / std::max(1.0, arrival.threads);
   const double most = service_.stretch(e.team, arrival.cls, 0.9);
@@ -226,7 +226,7 @@
   return expect(now, arrival, waiting_.count(team) == 0 && room(now, team)).quote;
 }
 
-double Scheduler::typical(const In& in) const { return cost_.charge(in.member, in.cls, in.told); }
+double Scheduler::typical(const In& in) const { return cost_.estimate_s(in.member, in.cls, in.told); }
 
 void Scheduler::enter(Time now, QueryId query, const In& in, bool overdue) {
   threads_in_ += in.threads;
@@ -355,24 +355,24 @@
 }
 
 void Scheduler::over(Time now, QueryId query, const throttle::Outcome& outcome) {
-  const auto settled = throttle::settle(waits_, waiting_, in_, query);
+  const auto settled = throttle::remove_finished(waits_, waiting_, in_, query);
   if (!settled) return;
   const In& in = *settled;
   bands_.end(query);
   threads_in_ = in_.empty() ? 0 : threads_in_ - in.held;
-  cost_.learn(in.member, in.cls, in.told, outcome.real);
+  cost_.record(in.member, in.cls, in.told, outcome.measured_work_s);
   // Charged was what its kind costs on the mean, bad plans counted in, so that one bad plan does not hold up
   // its team; what it really cost goes into that mean. Only what never ran gets it back.
-  if (outcome.real > 0) {
-    teams_[in.team].surcharge[in.cls].learn(in.typical, outcome.real);
-  } else if (!outcome.ran) {
+  if (outcome.measured_work_s > 0) {
+    teams_[in.team].surcharge[in.cls].learn(in.typical, outcome.measured_work_s);
+  } else if (!outcome.executed) {
     accounts_.charge(now, in.team, -in.cost);
     order_.correct(in.team, -in.cost, accounts_);
   }
   if (outcome.served() && in.typical > 0)
-    service_.learn(in.team, in.cls, seconds_of(outcome.took) * in.threads / in.typical);
-  if (outcome.refused) window_gone_ -= in.cost;  // it took nothing of what engines do
-  capacity_.over(now, in.cls, in.threads, in.cost, outcome, waiting_.size() > 0);
+    service_.learn(in.team, in.cls, seconds_of(outcome.latency) * in.threads / in.typical);
+  if (outcome.rejected_by_policy) window_gone_ -= in.cost;  // it took nothing of what engines do
+  capacity_.on_request_finished(now, in.cls, in.threads, in.cost, outcome, waiting_.size() > 0);
 }
 
 unsigned Scheduler::started(Time now, QueryId query, const std::string& engine, unsigned wish) {
@@ -409,7 +409,7 @@
   f.sunk = bands_.sunk();
   f.nice = bands_.told();
   f.pace = pace_;
-  f.bound = capacity_.bound();
+  f.bound = capacity_.concurrency_limit();
   f.threads_in = threads_in_;
   return f;
 }
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -179,7 +179,7 @@
   Settings settings_;
   std::size_t classes_;
   throttle::Capacity capacity_;
-  throttle::Cost cost_;
+  throttle::CostEstimator cost_;
   Accounts accounts_;
   FairOrder order_;
   Waiting waiting_;
--- a/src/standin/door_measure.cpp
+++ b/src/standin/door_measure.cpp
@@ -124,32 +124,33 @@
 Cost cost_of_a_decision(std::uint64_t seed) {
   throttle::Settings settings;
   settings.on = true;
-  settings.waiting = 12'000;
-  settings.most_wait = std::chrono::hours(1);
-  settings.patience = 1;
+  settings.max_queued = 12'000;
+  settings.max_wait = std::chrono::hours(1);
+  settings.max_wait_fraction = 1;
   settings.seed = seed;
   throttle::Throttle door(settings, kMembers, 3);
-  door.cores(16);
+  door.set_cores(16);
   Time now{std::chrono::seconds(1000)};
   std::uint64_t last = 0;
   std::deque<policy::QueryId> in;
   const auto arrive = [&] {
     throttle::Arrival a;
     a.query = policy::QueryId{++last};
-    a.member = last % kMembers, a.client = last * 7919, a.estimated_work_s = 0.1;
+    a.tenant = last % kMembers, a.client = last * 7919, a.estimated_work_s = 0.1;
     a.deadline = now + std::chrono::hours(2);
-    if (door.arrive(now, a).ruling == throttle::Ruling::pass) in.push_back(a.query);
+    if (door.offer(now, a).decision == throttle::Decision::admit) in.push_back(a.query);
   };
-  while (door.figures().waiting < 10'000) arrive();
+  while (door.metrics().queue_length < 10'000) arrive();
   constexpr int kWarm = 20'000, kRounds = 100'000;
   std::uint64_t allocated = 0;
   auto began = std::chrono::steady_clock::now();
   for (int i = 0; i < kWarm + kRounds; ++i) {
     if (i == kWarm) allocated = allocations(), began = std::chrono::steady_clock::now();
     now += std::chrono::microseconds(6000);
-    if (!in.empty()) door.over(now, in.front(), {true, milliseconds(100), 0.1, false}), in.pop_front();
-    while (const auto moved = door.next(now)) {
-      if (moved->verdict.ruling == throttle::Ruling::pass) in.push_back(moved->query);
+    if (!in.empty())
+      door.on_request_finished(now, in.front(), {true, milliseconds(100), 0.1, false}), in.pop_front();
+    while (const auto moved = door.next_decision(now)) {
+      if (moved->admission.decision == throttle::Decision::admit) in.push_back(moved->query);
     }
     arrive();
   }
--- a/src/standin/scenarios.h
+++ b/src/standin/scenarios.h
@@ -25,7 +25,7 @@
 struct Played {
   std::vector<Service> usual;  // by member and class: member * 2 + (0: lookups, 1: reports)
   Service flood;               // all floods together
-  std::optional<throttle::Figures> door;
+  std::optional<throttle::Metrics> door;
   double ratio(std::size_t member) const;  // worth served in time over worth asked for, of its usual traffic
 };
 // `flooded` false: the same usual traffic alone, for comparison.
--- a/src/throttle/capacity.cpp
+++ b/src/throttle/capacity.cpp
@@ -30,7 +30,7 @@
     : first_(threads_per_core), bound_(threads_per_core), rate_(kFirstUse), classes_(classes) {}
 
 // The list tells of engines seconds late, but what it tells is certain: the bound moves with it at once.
-void Capacity::cores(double cores) {
+void Capacity::set_cores(double cores) {
   if (cores <= 0 || cores == cores_) return;
   bound_ *= cores / cores_;
   rate_ *= cores / cores_;
@@ -39,7 +39,7 @@
 
 double Capacity::stretch() const { return std::exp(over_); }
 
-void Capacity::finished(Time now, std::size_t cls, double stretch, double cost, bool waiting) {
+void Capacity::on_finished(Time now, std::size_t cls, double stretch, double cost, bool waiting) {
   window_cost_ += cost;
   if (stretch > 0 && cls < classes_.size()) {
     Class& c = classes_[cls];
@@ -55,15 +55,15 @@
   tick(now, waiting);
 }
 
-void Capacity::over(Time now, std::size_t cls, double threads, double taken, const Outcome& outcome,
-                    bool waiting) {
-  if (outcome.refused) return refused(now, taken, waiting);
-  if (!outcome.served()) return finished(now, cls, 0, 0, waiting);
-  const double cost = outcome.cost(taken);
-  finished(now, cls, seconds_of(outcome.took) * threads / std::max(cost, 1e-6), cost, waiting);
+void Capacity::on_request_finished(Time now, std::size_t cls, double threads, double taken,
+                                   const Outcome& outcome, bool waiting) {
+  if (outcome.rejected_by_policy) return on_rejected(now, taken, waiting);
+  if (!outcome.served()) return on_finished(now, cls, 0, 0, waiting);
+  const double cost = outcome.actual_cost_s(taken);
+  on_finished(now, cls, seconds_of(outcome.latency) * threads / std::max(cost, 1e-6), cost, waiting);
 }
 
-void Capacity::refused(Time now, double cost, bool waiting) {
+void Capacity::on_rejected(Time now, double cost, bool waiting) {
   window_over_ += cost * kRefused;
   window_weight_ += cost;
   ++window_count_;
--- a/src/throttle/capacity.h
+++ b/src/throttle/capacity.h
@@ -21,17 +21,18 @@
   Capacity(std::size_t classes, double threads_per_core);
 
   // Cores of the engines that are up, this manager's part of them. 0: not known.
-  void cores(double cores);
+  void set_cores(double cores);
   // A request is over. `stretch`: time taken over its unloaded time, 0 where it was not served; `cost` in
   // seconds of one core; `waiting`: does anybody wait at the door?
-  void finished(Time now, std::size_t cls, double stretch, double cost, bool waiting);
+  void on_finished(Time now, std::size_t cls, double stretch, double cost, bool waiting);
   // Either of the next two, by the outcome of a request that was taken to cost `taken`.
-  void over(Time now, std::size_t cls, double threads, double taken, const Outcome& outcome, bool waiting);
+  void on_request_finished(Time now, std::size_t cls, double threads, double taken, const Outcome& outcome,
+                           bool waiting);
   // The module turned away what the door let in: more was in than the engines can take.
-  void refused(Time now, double cost, bool waiting);
+  void on_rejected(Time now, double cost, bool waiting);
   void tick(Time now, bool waiting);  // closes windows though nothing finishes
 
-  double bound() const { return bound_; }      // threads
+  double concurrency_limit() const { return bound_; }  // threads
   double drain_rate() const { return rate_; }  // seconds of one core's work that engines finish, a second
   double stretch() const;                      // recent time taken over the best; 1: at best
 
--- a/src/throttle/cost.cpp
+++ b/src/throttle/cost.cpp
@@ -14,13 +14,13 @@
 
 }  // namespace
 
-Cost::Cost(std::size_t members, std::size_t classes)
+CostEstimator::CostEstimator(std::size_t members, std::size_t classes)
     : members_(members),
       classes_(std::max<std::size_t>(classes, 1)),
       kinds_(classes_),
       pairs_((members + 1) * classes_) {}
 
-double Cost::charge(std::size_t member, std::size_t cls, double told) const {
+double CostEstimator::estimate_s(std::size_t member, std::size_t cls, double told) const {
   const Kind& own = pairs_[pair(member, cls)];
   const Kind& all = kinds_[kind(cls)];
   const double trust = own.count / (own.count + kTrust);
@@ -31,7 +31,7 @@
   return std::max(kLeast, told * std::exp(trust * own.factor + (1 - trust) * all.factor));
 }
 
-void Cost::take(Kind& kind, double told, double real) {
+void CostEstimator::take(Kind& kind, double told, double real) {
   ++kind.count;
   const double step = std::max(kStep, 1 / kind.count);
   kind.mean += step * (real - kind.mean);
@@ -39,7 +39,7 @@
     kind.factor += step * (std::clamp(std::log(real / told), -kMostFactor, kMostFactor) - kind.factor);
 }
 
-void Cost::learn(std::size_t member, std::size_t cls, double told, double real) {
+void CostEstimator::record(std::size_t member, std::size_t cls, double told, double real) {
   if (real <= 0) return;
   take(kinds_[kind(cls)], told, real);
   take(pairs_[pair(member, cls)], told, real);
--- a/src/throttle/cost.h
+++ b/src/throttle/cost.h
@@ -12,12 +12,12 @@
 
 namespace yokestream::throttle {
 
-class Cost {
+class CostEstimator {
  public:
-  Cost(std::size_t members, std::size_t classes);
-  double charge(std::size_t member, std::size_t cls, double told) const;  // told 0: not told
+  CostEstimator(std::size_t members, std::size_t classes);
+  double estimate_s(std::size_t member, std::size_t cls, double told) const;  // told 0: not told
   // What it really cost, 0: not told; and what was told before.
-  void learn(std::size_t member, std::size_t cls, double told, double real);
+  void record(std::size_t member, std::size_t cls, double told, double real);
 
  private:
   struct Kind {
--- a/src/throttle/throttle.cpp
+++ b/src/throttle/throttle.cpp
@@ -32,11 +32,11 @@
 
 Throttle::Throttle(Settings settings, std::size_t members, std::size_t classes)
     : settings_(std::move(settings)),
-      capacity_(classes, settings_.threads_per_core),
+      capacity_(classes, settings_.initial_threads_per_core),
       cost_(std::max<std::size_t>(members, 1), classes),
       clients_(std::max<std::size_t>(members, 1), settings_.seed),
-      queue_(std::max<std::size_t>(members, 1), settings_.waiting),
-      places_(settings_.places, settings_.keep),
+      queue_(std::max<std::size_t>(members, 1), settings_.max_queued),
+      places_(settings_.max_reservations, settings_.reservation_grace),
       members_(std::max<std::size_t>(members, 1)),
       random_(settings_.seed) {
   evicted_.reserve(4);
@@ -52,18 +52,18 @@
   }
 }
 
-std::size_t Throttle::bytes(const Settings& settings, std::size_t members) {
-  return FairQueue::bytes(members, settings.waiting) + settings.places * 32 +
-         members * (Clients::kHeavy * 24 + sizeof(Member)) + settings.waiting * 96;
+std::size_t Throttle::memory_bytes(const Settings& settings, std::size_t members) {
+  return FairQueue::bytes(members, settings.max_queued) + settings.max_reservations * 32 +
+         members * (Clients::kHeavy * 24 + sizeof(Member)) + settings.max_queued * 96;
 }
 
 // A member within its share may fill the bound; the others leave a part of it free, so that a share that
 // comes back finds room at once and not when a long query ends.
 bool Throttle::may_pass(std::size_t member, double threads) const {
   if (threads_in_ == 0) return true;
-  const double bound = capacity_.bound() * settings_.room;
+  const double bound = capacity_.concurrency_limit() * settings_.limit_multiplier;
   const bool within = members_[member].threads_in + threads <= std::max(threads, share(member) * bound);
-  return threads_in_ + threads <= bound * (within ? 1 : 1 - settings_.reserve);
+  return threads_in_ + threads <= bound * (within ? 1 : 1 - settings_.reserved_fraction);
 }
 
 // Its part of what engines finish, by weight among the members that ask now.
@@ -92,58 +92,60 @@
 
 // The places of a queue are booked one after another, at the pace at which its turns come: what a greedy
 // client asked for stands in the way of its own next requests and of nobody else's.
-Verdict Throttle::turn_away(Time now, std::size_t member, std::size_t queue, std::uint64_t key, double cost) {
-  ++figures_.turned_away;
+Admission Throttle::turn_away(Time now, std::size_t member, std::size_t queue, std::uint64_t key,
+                              double cost) {
+  ++metrics_.rejected;
   const double rate = rate_of(now, member);
   Time& booked = members_[member].booked[queue];
   const Time drained = now + std::max(kLeastHint, from_seconds(queue_.before(member, queue) / rate));
   const Time due =
       std::max(booked, drained) + from_seconds(cost / (kPromised * rate) * queue_.turns(member, queue));
-  if (due - now <= settings_.most_hint && places_.keep(now, key, {due, cost})) {
+  if (due - now <= settings_.max_retry_after && places_.keep(now, key, {due, cost})) {
     booked = due;
-    return {Ruling::turn_away, due - now, 0};
+    return {Decision::reject, due - now, 0};
   }
   // No place: advice only, spread so that not all come back at one moment.
   random_ = XXH3_64bits_withSeed(&key, sizeof key, random_);
   const double spread = kHintSpread * static_cast<double>(random_ >> 11) * 0x1.0p-53;
-  const double hint = seconds_of(std::min(settings_.most_hint, due - now)) * (1 - spread);
-  return {Ruling::turn_away, std::max(kLeastHint, from_seconds(hint)), 0};
+  const double hint = seconds_of(std::min(settings_.max_retry_after, due - now)) * (1 - spread);
+  return {Decision::reject, std::max(kLeastHint, from_seconds(hint)), 0};
 }
 
-Verdict Throttle::arrive(Time now, const Arrival& arrival) {
-  ++figures_.arrived;
-  const std::size_t member = std::min(arrival.member, members_.size() - 1);
+Admission Throttle::offer(Time now, const Arrival& arrival) {
+  ++metrics_.arrived;
+  const std::size_t member = std::min(arrival.tenant, members_.size() - 1);
   Member& m = members_[member];
   m.asked = now;
-  const std::uint64_t key = place_key(arrival.client, arrival.cls);
+  const std::uint64_t key = place_key(arrival.client, arrival.query_class);
   const bool calm =
-      queue_.size() == 0 && threads_in_ + arrival.threads <= kCalm * capacity_.bound() * settings_.room;
+      queue_.size() == 0 &&
+      threads_in_ + arrival.threads <= kCalm * capacity_.concurrency_limit() * settings_.limit_multiplier;
   if (!calm) {
     if (const auto place = places_.find(now, key); place && now < place->due - kEarly) {
-      ++figures_.early, ++figures_.turned_away;
-      return {Ruling::turn_away, place->due - now, 0};
+      ++metrics_.early_retries, ++metrics_.rejected;
+      return {Decision::reject, place->due - now, 0};
     }
   }
   const bool kept = places_.take(now, key).has_value();
-  figures_.kept += kept;
-  const double cost = cost_.charge(member, arrival.cls, arrival.estimated_work_s);
+  metrics_.reservations_claimed += kept;
+  const double cost = cost_.estimate_s(member, arrival.query_class, arrival.estimated_work_s);
   const auto queue = static_cast<std::uint32_t>(clients_.queue(now, member, key, cost));
-  const auto cls = static_cast<std::uint32_t>(arrival.cls);
+  const auto cls = static_cast<std::uint32_t>(arrival.query_class);
   if (queue_.count(member) == 0 && may_pass(member, arrival.threads)) {
     queue_.pass(member, queue, cost);
     enter(now, arrival.query,
           {static_cast<std::uint32_t>(member), queue, cls, arrival.estimated_work_s, cost, arrival.threads,
            now});
-    ++figures_.passed_at_once;
-    figures_.kept_in += kept;
-    return {Ruling::pass, {}, cost};
+    ++metrics_.admitted_immediately;
+    metrics_.reservations_admitted += kept;
+    return {Decision::admit, {}, cost};
   }
   const Time latest = arrival.deadline - service_time(arrival, cost);
   const double rate = rate_of(now, member);
   const Duration promised = kept ? Duration{} : std::max(Duration{}, m.booked[queue] - now);
   const Duration wait = std::max(promised, from_seconds((kept ? 0 : queue_.before(member, queue)) / rate));
-  const Duration patience =
-      std::min(settings_.most_wait, from_seconds(settings_.patience * seconds_of(arrival.deadline - now)));
+  const Duration patience = std::min(
+      settings_.max_wait, from_seconds(settings_.max_wait_fraction * seconds_of(arrival.deadline - now)));
   if (latest <= now || wait > (kept ? latest - now : std::min(patience, latest - now)))
     return turn_away(now, member, queue, key, cost);
   if (queue_.full()) {
@@ -154,12 +156,12 @@
   const FairQueue::Ref ref = queue_.push(
       {arrival.query, static_cast<std::uint32_t>(member), queue, cost, arrival.threads, latest}, kept);
   waits_[arrival.query] = Waits{ref, cls, arrival.estimated_work_s, key};
-  ++figures_.waited;
-  figures_.kept_in += kept;
-  return {Ruling::wait, {}, cost};
+  ++metrics_.queued;
+  metrics_.reservations_admitted += kept;
+  return {Decision::queue, {}, cost};
 }
 
-Moved Throttle::put_out(Time now, FairQueue::Ref ref) {
+QueuedDecision Throttle::put_out(Time now, FairQueue::Ref ref) {
   const FairQueue::Entry entry = queue_.remove(ref);
   const auto it = waits_.find(entry.query);
   const std::uint64_t key = it->second.key;
@@ -167,22 +169,22 @@
   return {entry.query, turn_away(now, entry.member, entry.queue, key, entry.cost)};
 }
 
-void Throttle::over(Time now, QueryId query, const Outcome& outcome) {
-  const auto settled = settle(waits_, queue_, in_, query);
+void Throttle::on_request_finished(Time now, QueryId query, const Outcome& outcome) {
+  const auto settled = remove_finished(waits_, queue_, in_, query);
   if (!settled) return;
   const In& in = *settled;
   Member& m = members_[in.member];
   m.threads_in = --m.in == 0 ? 0 : m.threads_in - in.threads;
   threads_in_ = in_.empty() ? 0 : threads_in_ - in.threads;
-  cost_.learn(in.member, in.cls, in.told, outcome.real);
-  queue_.correct(in.member, in.queue, outcome.cost(in.cost) - in.cost);
-  capacity_.over(now, in.cls, in.threads, in.cost, outcome, queue_.size() > 0);
+  cost_.record(in.member, in.cls, in.told, outcome.measured_work_s);
+  queue_.correct(in.member, in.queue, outcome.actual_cost_s(in.cost) - in.cost);
+  capacity_.on_request_finished(now, in.cls, in.threads, in.cost, outcome, queue_.size() > 0);
 }
 
-std::optional<Moved> Throttle::next(Time now) {
+std::optional<QueuedDecision> Throttle::next_decision(Time now) {
   capacity_.tick(now, queue_.size() > 0);
   if (!evicted_.empty()) {
-    const Moved out = evicted_.back();
+    const QueuedDecision out = evicted_.back();
     evicted_.pop_back();
     return out;
   }
@@ -195,7 +197,7 @@
   enter(now, entry->query,
         {entry->member, entry->queue, it->second.cls, it->second.told, entry->cost, entry->threads, now});
   waits_.erase(it);
-  return Moved{entry->query, {Ruling::pass, {}, entry->cost}};
+  return QueuedDecision{entry->query, {Decision::admit, {}, entry->cost}};
 }
 
 Time Throttle::next_due(Time now) const {
@@ -204,13 +206,13 @@
   return std::min(queue_.at(queue_.earliest()).until, now + kLook);
 }
 
-Figures Throttle::figures() const {
-  Figures f = figures_;
-  f.waiting = queue_.size();
-  f.in = in_.size();
-  f.places = places_.kept();
-  f.bound = capacity_.bound();
-  f.threads_in = threads_in_;
+Metrics Throttle::metrics() const {
+  Metrics f = metrics_;
+  f.queue_length = queue_.size();
+  f.in_flight = in_.size();
+  f.reservations = places_.kept();
+  f.concurrency_limit = capacity_.concurrency_limit();
+  f.threads_in_flight = threads_in_;
   f.drain_rate = capacity_.drain_rate();
   f.stretch = capacity_.stretch();
   return f;
--- a/src/throttle/throttle.h
+++ b/src/throttle/throttle.h
@@ -37,30 +37,30 @@
 
 struct Arrival {
   QueryId query{};
-  std::size_t member = 0, cls = 0;
+  std::size_t tenant = 0, query_class = 0;
   std::uint64_t client = 0;     // who shares a queue and may claim a kept place
   double estimated_work_s = 0;  // the estimate, in seconds of one core; 0: none
   double threads = 1;           // that it runs on
   Time deadline{};
 };
 
-enum class Ruling { pass, wait, turn_away };
-struct Verdict {
-  Ruling ruling = Ruling::pass;
-  Duration hint{};  // turned away: when to come back
-  double cost = 0;  // else: what it is taken to cost, in seconds of one core
+enum class Decision { admit, queue, reject };
+struct Admission {
+  Decision decision = Decision::admit;
+  Duration retry_after{};  // turned away: when to come back
+  double cost = 0;         // else: what it is taken to cost, in seconds of one core
 };
-struct Moved {  // one that waited
+struct QueuedDecision {  // one that waited
   QueryId query{};
-  Verdict verdict;
+  Admission admission;
 };
 
 // What operators see; counts since the start. See docs/operators/door.md.
-struct Figures {
-  std::uint64_t arrived = 0, passed_at_once = 0, waited = 0, turned_away = 0, early = 0, kept = 0,
-                kept_in = 0;
-  std::size_t waiting = 0, in = 0, places = 0;
-  double bound = 0, threads_in = 0, drain_rate = 0, stretch = 1;
+struct Metrics {
+  std::uint64_t arrived = 0, admitted_immediately = 0, queued = 0, rejected = 0, early_retries = 0,
+                reservations_claimed = 0, reservations_admitted = 0;
+  std::size_t queue_length = 0, in_flight = 0, reservations = 0;
+  double concurrency_limit = 0, threads_in_flight = 0, drain_rate = 0, stretch = 1;
 };
 
 class Throttle {
@@ -68,18 +68,18 @@
   Throttle(Settings settings, std::size_t members, std::size_t classes);
 
   void configure(const Settings& settings);  // weights, times and hints take effect at once; sizes do not
-  void cores(double cores) { capacity_.cores(cores); }
-  double room() const { return settings_.room; }
+  void set_cores(double cores) { capacity_.set_cores(cores); }
+  double limit_multiplier() const { return settings_.limit_multiplier; }
 
-  Verdict arrive(Time now, const Arrival& arrival);
+  Admission offer(Time now, const Arrival& arrival);
   // Over, in whatever way: given up while it waited, or finished after it passed.
-  void over(Time now, QueryId query, const Outcome& outcome);
+  void on_request_finished(Time now, QueryId query, const Outcome& outcome);
   // The next of those who waited that is to go on or to be turned away now; nullopt: nobody.
-  std::optional<Moved> next(Time now);
+  std::optional<QueuedDecision> next_decision(Time now);
   Time next_due(Time now) const;  // when next() may have something to say though nothing happens
 
-  Figures figures() const;
-  static std::size_t bytes(const Settings& settings, std::size_t members);
+  Metrics metrics() const;
+  static std::size_t memory_bytes(const Settings& settings, std::size_t members);
 
  private:
   struct In {  // passed, not over
@@ -104,12 +104,12 @@
   double rate_of(Time now, std::size_t member) const;
   Duration service_time(const Arrival& arrival, double cost) const;
   void enter(Time now, QueryId query, const In& in);
-  Verdict turn_away(Time now, std::size_t member, std::size_t queue, std::uint64_t key, double cost);
-  Moved put_out(Time now, FairQueue::Ref ref);
+  Admission turn_away(Time now, std::size_t member, std::size_t queue, std::uint64_t key, double cost);
+  QueuedDecision put_out(Time now, FairQueue::Ref ref);
 
   Settings settings_;
   Capacity capacity_;
-  Cost cost_;
+  CostEstimator cost_;
   Clients clients_;
   FairQueue queue_;
   Places places_;
@@ -118,9 +118,9 @@
   std::pmr::unsynchronized_pool_resource pool_;  // what goes and comes takes nothing from the heap
   std::pmr::unordered_map<QueryId, In> in_{&pool_};
   std::pmr::unordered_map<QueryId, Waits> waits_{&pool_};
-  std::vector<Moved> evicted_;
+  std::vector<QueuedDecision> evicted_;
   std::uint64_t random_;
-  Figures figures_;
+  Metrics metrics_;
 };
 
 }  // namespace yokestream::throttle
--- a/tests/node/operator_test.cpp
+++ b/tests/node/operator_test.cpp
@@ -56,8 +56,8 @@
 TEST_CASE("each value says where it came from; shares are the weights where none are told") {
   const auto told = decode(R"({"door":{"on":true,"most_wait_ms":250}})", platform());
   CHECK(told.door.on);
-  CHECK((told.door.most_wait == 250ms));
-  CHECK((told.door.most_hint == 2s));  // the platform's clients heed no longer advice
+  CHECK((told.door.max_wait == 250ms));
+  CHECK((told.door.max_retry_after == 2s));  // the platform's clients heed no longer advice
   REQUIRE(told.door.weights.size() == 1);
   CHECK(told.door.weights[0] == 1);
   std::map<std::string, std::string> origins;
--- a/tests/node/scheduler_test.cpp
+++ b/tests/node/scheduler_test.cpp
@@ -91,7 +91,7 @@
       for (const QueryId q : done) {
         runs.erase(q);
         throttle::Outcome o;
-        o.ran = true, o.took = now - came[q], o.real = costs[q];
+        o.executed = true, o.latency = now - came[q], o.measured_work_s = costs[q];
         queues.over(now, q, o);
       }
       move();
--- a/tests/node/throttle_test.cpp
+++ b/tests/node/throttle_test.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 using throttle::Arrival;
+using throttle::Decision;
 using throttle::FairQueue;
 using throttle::QueryId;
-using throttle::Ruling;
 using throttle::Throttle;
 
 constexpr Time kStart{Duration(1000s)};
@@ -121,14 +121,14 @@
 }
 
 TEST_CASE("a kind that lies is charged the truth, by member") {
-  throttle::Cost cost(2, 1);
+  throttle::CostEstimator cost(2, 1);
   for (int i = 0; i < 60; ++i) {
-    cost.learn(0, 0, 0.1, 0.1);
-    cost.learn(1, 0, 0.01, 0.1);
+    cost.record(0, 0, 0.1, 0.1);
+    cost.record(1, 0, 0.01, 0.1);
   }
-  CHECK(cost.charge(1, 0, 0.01) == doctest::Approx(0.1).epsilon(0.15));
-  CHECK(cost.charge(0, 0, 0.1) == doctest::Approx(0.1).epsilon(0.5));
-  CHECK(cost.charge(0, 0, 0) == doctest::Approx(0.1).epsilon(0.2));  // nothing told: the mean
+  CHECK(cost.estimate_s(1, 0, 0.01) == doctest::Approx(0.1).epsilon(0.15));
+  CHECK(cost.estimate_s(0, 0, 0.1) == doctest::Approx(0.1).epsilon(0.5));
+  CHECK(cost.estimate_s(0, 0, 0) == doctest::Approx(0.1).epsilon(0.2));  // nothing told: the mean
 }
 
 TEST_CASE("greedy clients get queues of their own; a hundred thousand others cost no memory") {
@@ -146,7 +146,7 @@
   }
   CHECK(static_cast<double>(apart) > 0.99 * static_cast<double>(seen));
   // The bound, as the operators' page states it.
-  CHECK(Throttle::bytes(throttle::Settings{}, members) < 1'500'000);
+  CHECK(Throttle::memory_bytes(throttle::Settings{}, members) < 1'500'000);
 }
 
 TEST_CASE("who shares a queue with another changes with the seed") {
@@ -172,31 +172,32 @@
 TEST_CASE("capacity: half the engines gone or all slow shows in the bound within 3 s, and it recovers") {
   for (const double times : {2.0, 2.5}) {
     throttle::Capacity capacity(1, 2);
-    capacity.cores(16);
+    capacity.set_cores(16);
     Time now = kStart;
     const auto run = [&](Duration length, double slow) {
       const Time until = now + length;
       while (now < until) {
         now += 20ms;
         // Closed loop: time taken grows with what is in, as the bound lets it in.
-        const double stretch = slow * std::max(1.0, capacity.bound() / 24);
-        capacity.finished(now, 0, stretch, 0.3 / slow, true);
+        const double stretch = slow * std::max(1.0, capacity.concurrency_limit() / 24);
+        capacity.on_finished(now, 0, stretch, 0.3 / slow, true);
       }
     };
     run(5s, 1);
-    const double before = capacity.bound();
+    const double before = capacity.concurrency_limit();
     CHECK(before > 16);
     run(3s, times * 1.6);
-    CHECK(capacity.bound() < 0.75 * before);
-    CHECK(capacity.bound() >= 16);  // never under a thread a core: a slowdown from outside must not starve
+    CHECK(capacity.concurrency_limit() < 0.75 * before);
+    CHECK(capacity.concurrency_limit() >=
+          16);  // never under a thread a core: a slowdown from outside must not starve
     run(5s, 1);
-    CHECK(capacity.bound() > 0.9 * before);
+    CHECK(capacity.concurrency_limit() > 0.9 * before);
   }
 }
 
 // A door before engines that finish `rate` requests of 0.1 s a second when enough is in.
 struct Site {
-  explicit Site(throttle::Settings s = {}) : door((s.on = true, s), 3, 2) { door.cores(4); }
+  explicit Site(throttle::Settings s = {}) : door((s.on = true, s), 3, 2) { door.set_cores(4); }
   Throttle door;
   Time now = kStart;
   std::uint64_t last = 0;
@@ -204,40 +205,40 @@
   std::map<std::uint64_t, Duration> turned;  // hints
   std::size_t passed = 0;
 
-  Ruling arrive(std::size_t member, std::uint64_t client, Duration left = 4s) {
+  Decision arrive(std::size_t member, std::uint64_t client, Duration left = 4s) {
     Arrival a;
     a.query = QueryId{++last};
-    a.member = member, a.client = client, a.estimated_work_s = 0.1, a.deadline = now + left;
-    const auto verdict = door.arrive(now, a);
-    if (verdict.ruling == Ruling::pass) in.push_back(a.query), ++passed;
-    if (verdict.ruling == Ruling::turn_away) turned[last] = verdict.hint;
+    a.tenant = member, a.client = client, a.estimated_work_s = 0.1, a.deadline = now + left;
+    const auto admission = door.offer(now, a);
+    if (admission.decision == Decision::admit) in.push_back(a.query), ++passed;
+    if (admission.decision == Decision::reject) turned[last] = admission.retry_after;
     move();
-    return verdict.ruling;
+    return admission.decision;
   }
   void move() {
-    while (const auto moved = door.next(now)) {
-      if (moved->verdict.ruling == Ruling::pass)
+    while (const auto moved = door.next_decision(now)) {
+      if (moved->admission.decision == Decision::admit)
         in.push_back(moved->query), ++passed;
       else
-        turned[static_cast<std::uint64_t>(moved->query)] = moved->verdict.hint;
+        turned[static_cast<std::uint64_t>(moved->query)] = moved->admission.retry_after;
     }
   }
   void finish(std::size_t n = 1) {
     for (; n > 0 && !in.empty(); --n) {
-      door.over(now, in.front(), {true, 100ms, 0.1});
+      door.on_request_finished(now, in.front(), {true, 100ms, 0.1});
       in.pop_front();
     }
     move();
   }
   void fill() {  // until the flooding member is turned away
-    while (arrive(2, 1000 + last) != Ruling::turn_away) continue;
+    while (arrive(2, 1000 + last) != Decision::reject) continue;
   }
 };
 
 TEST_CASE("lightly loaded the door lets everybody pass at once") {
   Site site;
   for (int i = 0; i < 500; ++i) {
-    CHECK(site.arrive(static_cast<std::size_t>(i % 3), 1) == Ruling::pass);
+    CHECK(site.arrive(static_cast<std::size_t>(i % 3), 1) == Decision::admit);
     site.now += 30ms;
     site.finish();
   }
@@ -247,10 +248,10 @@
 TEST_CASE("in a flood a member within its share passes at once or goes before what waits of the flood") {
   Site site;
   site.fill();
-  CHECK(site.door.figures().waiting > 0);
-  const auto ruling = site.arrive(0, 9);
-  CHECK(ruling != Ruling::turn_away);
-  if (ruling == Ruling::wait) {
+  CHECK(site.door.metrics().queue_length > 0);
+  const auto decision = site.arrive(0, 9);
+  CHECK(decision != Decision::reject);
+  if (decision == Decision::queue) {
     const auto before = site.passed;
     site.finish();
     CHECK(site.passed > before);
@@ -263,12 +264,12 @@
   site.fill();
   std::vector<std::pair<Time, std::uint64_t>> told;
   for (std::uint64_t client = 1; client <= 20; ++client) {
-    while (site.arrive(2, client) != Ruling::turn_away) continue;  // until it asked for more than its part
+    while (site.arrive(2, client) != Decision::reject) continue;  // until it asked for more than its part
     told.emplace_back(site.now + site.turned[site.last], client);
-    const auto early = site.door.figures().early;
-    CHECK(site.arrive(2, client) == Ruling::turn_away);  // at once: no better, and known for what it is
+    const auto early = site.door.metrics().early_retries;
+    CHECK(site.arrive(2, client) == Decision::reject);  // at once: no better, and known for what it is
     CHECK((site.now + site.turned[site.last] == told.back().first));
-    CHECK(site.door.figures().early == early + 1);
+    CHECK(site.door.metrics().early_retries == early + 1);
   }
   std::sort(told.begin(), told.end());
   for (std::size_t i = 5; i < told.size(); ++i)  // in the door's view 40 a second are served
@@ -280,27 +281,27 @@
       if (site.now.time_since_epoch().count() % 25'000'000 == 0) site.finish();  // 4 cores: 40 a second
       site.arrive(2, 1000 + site.last);                                          // the flood goes on
     }
-    let_in += site.arrive(2, client) != Ruling::turn_away;
+    let_in += site.arrive(2, client) != Decision::reject;
   }
   CHECK(let_in >= 18);
 }
 
 TEST_CASE("a full door puts out the newest of who has most waiting, not who comes") {
   throttle::Settings settings;
-  settings.waiting = 8;
-  settings.most_wait = 60s;
+  settings.max_queued = 8;
+  settings.max_wait = 60s;
   Site site(settings);
-  while (site.door.figures().waiting < 8) site.arrive(2, 1000 + site.last, 100s);
+  while (site.door.metrics().queue_length < 8) site.arrive(2, 1000 + site.last, 100s);
   const auto before = site.turned.size();
-  CHECK(site.arrive(2, 7, 100s) == Ruling::turn_away);  // the fattest itself
-  while (site.arrive(0, 1000 + site.last, 100s) == Ruling::pass) continue;
+  CHECK(site.arrive(2, 7, 100s) == Decision::reject);  // the fattest itself
+  while (site.arrive(0, 1000 + site.last, 100s) == Decision::admit) continue;
   CHECK(site.turned.size() == before + 2);
-  CHECK(site.door.figures().waiting == 8);
+  CHECK(site.door.metrics().queue_length == 8);
 }
 
 TEST_CASE("who waits is turned away when the rest of its time no longer suffices, and not later") {
   Site site;
-  while (site.arrive(2, 1000 + site.last, 500ms) != Ruling::wait) continue;
+  while (site.arrive(2, 1000 + site.last, 500ms) != Decision::queue) continue;
   const auto waiting = site.last;
   for (int i = 0; i < 10 && !site.turned.count(waiting); ++i) {
     site.now = site.door.next_due(site.now);
@@ -312,24 +313,24 @@
 
 TEST_CASE("one that leaves while it waits is forgotten, and its room is free") {
   Site site;
-  while (site.arrive(2, 1000 + site.last) != Ruling::wait) continue;
-  CHECK(site.door.figures().waiting == 1);
-  site.door.over(site.now, QueryId{site.last}, {});
-  CHECK(site.door.figures().waiting == 0);
-  site.door.over(site.now, QueryId{site.last}, {});  // and again: nothing
+  while (site.arrive(2, 1000 + site.last) != Decision::queue) continue;
+  CHECK(site.door.metrics().queue_length == 1);
+  site.door.on_request_finished(site.now, QueryId{site.last}, {});
+  CHECK(site.door.metrics().queue_length == 0);
+  site.door.on_request_finished(site.now, QueryId{site.last}, {});  // and again: nothing
   site.finish(site.in.size());
-  CHECK(site.door.figures().in == 0);
-  CHECK(site.door.figures().threads_in == 0);
+  CHECK(site.door.metrics().in_flight == 0);
+  CHECK(site.door.metrics().threads_in_flight == 0);
 }
 
 TEST_CASE("when a flood ends nobody pays for it: a client told to stay away finds the door open") {
   Site site;
   site.fill();
-  REQUIRE(site.arrive(2, 42) == Ruling::turn_away);
+  REQUIRE(site.arrive(2, 42) == Decision::reject);
   site.finish(10'000);
   while (!site.in.empty()) site.finish(10'000);
   site.now += 10ms;  // long before its time
-  CHECK(site.arrive(2, 42) == Ruling::pass);
+  CHECK(site.arrive(2, 42) == Decision::admit);
 }
 
 TEST_CASE("new weights count from the next request on; a member that is not known counts as the last one") {
@@ -342,7 +343,7 @@
   const auto passed = site.passed;
   site.finish(4);
   CHECK(site.passed > passed);
-  CHECK(site.arrive(17, 4711) != Ruling::pass);  // of the flooding member, as far as the door can tell
+  CHECK(site.arrive(17, 4711) != Decision::admit);  // of the flooding member, as far as the door can tell
 }
 
 }  // namespace
