--- a/src/budget_planner/budget_planner.cpp
+++ b/src/budget_planner/budget_planner.cpp
@@ -12,149 +12,157 @@
 namespace yokestream::budget_planner {
 namespace {
 
-constexpr double kFloorPrice = 1e6;  // worth a missing engine-second: more than any request's
-constexpr double kNothing = 1e-9;
+// Per engine-second of shortfall; more than the value of any request, so that floors come first.
+constexpr double kFloorPenalty = 1e6;
+constexpr double kNegligible = 1e-9;  // engine-seconds per second
 
-struct Delete {
-  void operator()(glp_prob* p) const { glp_delete_prob(p); }
+struct ProblemDeleter {
+  void operator()(glp_prob* problem) const { glp_delete_prob(problem); }
 };
 
-// Rows and columns as they are added; GLPK counts from one.
-class Programme {
+// A GLPK problem that is built column by column and row by row; GLPK counts from one.
+class LinearProgramme {
  public:
-  Programme() : problem_(glp_create_prob()) { glp_set_obj_dir(problem_.get(), GLP_MAX); }
-  int column(double most, double worth) {
-    const int c = glp_add_cols(problem_.get(), 1);
-    glp_set_col_bnds(problem_.get(), c, most > 0 ? GLP_DB : GLP_FX, 0, std::max(0.0, most));
-    glp_set_obj_coef(problem_.get(), c, worth);
-    return c;
+  LinearProgramme() : problem_(glp_create_prob()) { glp_set_obj_dir(problem_.get(), GLP_MAX); }
+  // Adds a variable between 0 and `upper_bound` and returns its index.
+  int add_column(double upper_bound, double objective_coefficient) {
+    const int column = glp_add_cols(problem_.get(), 1);
+    glp_set_col_bnds(problem_.get(), column, upper_bound > 0 ? GLP_DB : GLP_FX, 0,
+                     std::max(0.0, upper_bound));
+    glp_set_obj_coef(problem_.get(), column, objective_coefficient);
+    return column;
   }
-  void row(const std::vector<int>& columns, int bound, double least, double most) {
+  // Bounds the sum of the columns. `bound_type` is GLP_UP or GLP_LO and tells which bound counts.
+  void add_row(const std::vector<int>& columns, int bound_type, double lower_bound, double upper_bound) {
     if (columns.empty()) return;
-    const int r = glp_add_rows(problem_.get(), 1);
-    glp_set_row_bnds(problem_.get(), r, bound, least, most);
-    std::vector<int> at{0};
-    std::vector<double> ones{0};
-    for (const int c : columns) at.push_back(c), ones.push_back(1);
-    glp_set_mat_row(problem_.get(), r, static_cast<int>(columns.size()), at.data(), ones.data());
+    const int row = glp_add_rows(problem_.get(), 1);
+    glp_set_row_bnds(problem_.get(), row, bound_type, lower_bound, upper_bound);
+    std::vector<int> indices{0};
+    std::vector<double> coefficients{0};
+    for (const int column : columns) indices.push_back(column), coefficients.push_back(1);
+    glp_set_mat_row(problem_.get(), row, static_cast<int>(columns.size()), indices.data(),
+                    coefficients.data());
   }
   void solve() {
-    glp_smcp how;
-    glp_init_smcp(&how);
-    how.msg_lev = GLP_MSG_OFF;
-    how.presolve = GLP_ON;
-    if (glp_simplex(problem_.get(), &how) != 0 || glp_get_status(problem_.get()) != GLP_OPT)
-      throw std::runtime_error("the programme has no solution");
+    glp_smcp parameters;
+    glp_init_smcp(&parameters);
+    parameters.msg_lev = GLP_MSG_OFF;
+    parameters.presolve = GLP_ON;
+    if (glp_simplex(problem_.get(), &parameters) != 0 || glp_get_status(problem_.get()) != GLP_OPT)
+      throw std::runtime_error("the linear programme has no optimal solution");
   }
   double value(int column) const { return glp_get_col_prim(problem_.get(), column); }
 
  private:
-  std::unique_ptr<glp_prob, Delete> problem_;
+  std::unique_ptr<glp_prob, ProblemDeleter> problem_;
 };
 
+// The node itself and, if it is a group, its teams.
 std::vector<std::size_t> with_teams_of(const std::vector<scheduler::Team>& teams, std::size_t node) {
-  std::vector<std::size_t> out{node};
+  std::vector<std::size_t> members{node};
   for (std::size_t i = 0; i < teams.size(); ++i) {
-    if (!teams[i].group.empty() && teams[i].group == teams[node].name) out.push_back(i);
+    if (!teams[i].group.empty() && teams[i].group == teams[node].name) members.push_back(i);
   }
-  return out;
+  return members;
 }
 
 }  // namespace
 
-BudgetPlan plan_budgets(const PlanInput& question) {
-  const double capacity = question.cores * question.utilization;
-  if (!(capacity > 0)) throw std::invalid_argument("cores: the engines have none");
-  const std::size_t count = question.teams.size();
-  Programme programme;
-  BudgetPlan out;
-  out.teams.resize(count);
-  std::vector<std::vector<int>> served(count);
-  std::vector<int> all, missing(count);
-  for (const TrafficStream& e : question.traffic) {
-    if (e.team >= count || e.cls >= question.class_values.size())
-      throw std::invalid_argument("traffic: no such team or class");
-    if (!(e.work_s > 0) || e.per_s < 0) throw std::invalid_argument("traffic: work_s must be above 0");
-    const double asked = e.per_s * e.work_s;
-    out.teams[e.team].demand += asked;
-    served[e.team].push_back(programme.column(asked, question.class_values[e.cls] / e.work_s));
-    all.push_back(served[e.team].back());
+BudgetPlan plan_budgets(const PlanInput& input) {
+  const double capacity = input.cores * input.utilization;
+  if (!(capacity > 0)) throw std::invalid_argument("cores: the engines' capacity must be above 0");
+  const std::size_t count = input.teams.size();
+  LinearProgramme programme;
+  BudgetPlan plan;
+  plan.teams.resize(count);
+  std::vector<std::vector<int>> served_columns(count);
+  std::vector<int> all_columns, shortfall_columns(count);
+  for (const TrafficStream& stream : input.traffic) {
+    if (stream.team >= count || stream.query_class >= input.class_values.size())
+      throw std::invalid_argument("traffic: unknown team or class");
+    if (!(stream.work_s > 0) || stream.per_s < 0)
+      throw std::invalid_argument("traffic: work_s must be above 0 and per_s at least 0");
+    const double demand = stream.per_s * stream.work_s;
+    plan.teams[stream.team].demand += demand;
+    served_columns[stream.team].push_back(
+        programme.add_column(demand, input.class_values[stream.query_class] / stream.work_s));
+    all_columns.push_back(served_columns[stream.team].back());
   }
-  programme.row(all, GLP_UP, 0, capacity);
+  programme.add_row(all_columns, GLP_UP, 0, capacity);
   for (std::size_t i = 0; i < count; ++i) {
-    std::vector<int> mine;
-    double asked = 0;
-    for (const std::size_t node : with_teams_of(question.teams, i)) {
-      mine.insert(mine.end(), served[node].begin(), served[node].end());
-      asked += out.teams[node].demand;
+    std::vector<int> columns;
+    double demand = 0;
+    for (const std::size_t node : with_teams_of(input.teams, i)) {
+      columns.insert(columns.end(), served_columns[node].begin(), served_columns[node].end());
+      demand += plan.teams[node].demand;
     }
-    const double floor = std::min(question.teams[i].floor * capacity, asked);
-    if (!mine.empty()) programme.row(mine, GLP_UP, 0, question.teams[i].ceiling * capacity);
-    missing[i] = programme.column(floor, -kFloorPrice);
-    if (floor <= kNothing) continue;
-    mine.push_back(missing[i]);
-    programme.row(mine, GLP_LO, floor, 0);
+    const double floor = std::min(input.teams[i].floor * capacity, demand);
+    if (!columns.empty()) programme.add_row(columns, GLP_UP, 0, input.teams[i].ceiling * capacity);
+    shortfall_columns[i] = programme.add_column(floor, -kFloorPenalty);
+    if (floor <= kNegligible) continue;
+    columns.push_back(shortfall_columns[i]);
+    programme.add_row(columns, GLP_LO, floor, 0);
   }
   programme.solve();
-  std::size_t stream = 0;
-  for (const TrafficStream& e : question.traffic) {
-    const double x = programme.value(all[stream++]);
-    out.teams[e.team].served += x;
-    out.value += x * question.class_values[e.cls] / e.work_s;
+  std::size_t column = 0;
+  for (const TrafficStream& stream : input.traffic) {
+    const double served = programme.value(all_columns[column++]);
+    plan.teams[stream.team].served += served;
+    plan.value += served * input.class_values[stream.query_class] / stream.work_s;
   }
   for (std::size_t i = 0; i < count; ++i) {
-    out.teams[i].shortfall = std::max(0.0, programme.value(missing[i]));
-    out.shortfall += out.teams[i].shortfall;
+    plan.teams[i].shortfall = std::max(0.0, programme.value(shortfall_columns[i]));
+    plan.shortfall += plan.teams[i].shortfall;
   }
-  return out;
+  return plan;
 }
 
 std::vector<TrafficStream> read_traffic(const std::string& text, const std::vector<std::string>& owners,
                                         const std::vector<std::string>& classes,
                                         const std::vector<std::size_t>& team_of) {
-  std::vector<TrafficStream> out;
+  std::vector<TrafficStream> traffic;
   csv::read(text, 4, [&](const csv::Cells& cells) {
-    if (out.empty() && cells[0] == "owner") return;  // the heading
+    if (traffic.empty() && cells[0] == "owner") return;  // the heading
     const auto owner = std::find(owners.begin(), owners.end(), cells[0]);
-    const auto cls = std::find(classes.begin(), classes.end(), cells[1]);
-    if (owner == owners.end()) throw std::runtime_error("no owner " + cells[0]);
-    if (cls == classes.end()) throw std::runtime_error("no class " + cells[1]);
-    TrafficStream e;
-    e.team = team_of.at(static_cast<std::size_t>(owner - owners.begin()));
-    e.cls = static_cast<std::size_t>(cls - classes.begin());
-    e.per_s = csv::number(cells[2]);
-    e.work_s = csv::number(cells[3]);
-    if (!(e.work_s > 0)) throw std::runtime_error("work_s must be above 0");
-    out.push_back(e);
+    const auto query_class = std::find(classes.begin(), classes.end(), cells[1]);
+    if (owner == owners.end()) throw std::runtime_error("unknown owner " + cells[0]);
+    if (query_class == classes.end()) throw std::runtime_error("unknown class " + cells[1]);
+    TrafficStream stream;
+    stream.team = team_of.at(static_cast<std::size_t>(owner - owners.begin()));
+    stream.query_class = static_cast<std::size_t>(query_class - classes.begin());
+    stream.per_s = csv::number(cells[2]);
+    stream.work_s = csv::number(cells[3]);
+    if (!(stream.work_s > 0)) throw std::runtime_error("work_s must be above 0");
+    traffic.push_back(stream);
   });
-  return out;
+  return traffic;
 }
 
-std::string to_jsonnet(const PlanInput& question, const BudgetPlan& proposal, policy::Duration span) {
+std::string to_jsonnet(const PlanInput& input, const BudgetPlan& plan, policy::Duration span) {
   const double span_s = std::chrono::duration<double>(span).count();
-  std::string out = "// Proposed by `yokestream plan`: merge it into the operator file.\n";
-  out += fmt::format("// Engines give {:.2f} engine-seconds a second; this is worth {:.1f} a second.\n",
-                     question.cores * question.utilization, proposal.value);
-  if (proposal.shortfall > kNothing) {
-    out += fmt::format("// The floors cannot be met together: {:.3f} engine-seconds a second are missing.\n",
-                       proposal.shortfall);
-    for (std::size_t i = 0; i < question.teams.size(); ++i) {
-      if (proposal.teams[i].shortfall > kNothing)
-        out += fmt::format("//   {}: {:.3f} missing of its floor\n", question.teams[i].name,
-                           proposal.teams[i].shortfall);
+  std::string text = "// Proposed by `yokestream plan`: merge it into the operator file.\n";
+  text += fmt::format("// Engines give {:.2f} engine-seconds a second; this is worth {:.1f} a second.\n",
+                      input.cores * input.utilization, plan.value);
+  if (plan.shortfall > kNegligible) {
+    text += fmt::format("// The floors cannot be met together: {:.3f} engine-seconds a second are missing.\n",
+                        plan.shortfall);
+    for (std::size_t i = 0; i < input.teams.size(); ++i) {
+      if (plan.teams[i].shortfall > kNegligible)
+        text += fmt::format("//   {}: {:.3f} missing of its floor\n", input.teams[i].name,
+                            plan.teams[i].shortfall);
     }
   }
-  out += fmt::format("{{\n  queues+: {{\n    span_ms: {},\n    teams+: {{\n",
-                     std::chrono::duration_cast<std::chrono::milliseconds>(span).count());
-  for (std::size_t i = 0; i < question.teams.size(); ++i) {
-    double served = 0, asked = 0;
-    for (const std::size_t node : with_teams_of(question.teams, i))
-      served += proposal.teams[node].served, asked += proposal.teams[node].demand;
-    if (asked <= kNothing && question.teams[i].name == "rest") continue;
-    out += fmt::format("      '{}'+: {{ budget_s: {:.1f} }},  // asked for: {:.1f}\n", question.teams[i].name,
-                       served * span_s, asked * span_s);
+  text += fmt::format("{{\n  queues+: {{\n    span_ms: {},\n    teams+: {{\n",
+                      std::chrono::duration_cast<std::chrono::milliseconds>(span).count());
+  for (std::size_t i = 0; i < input.teams.size(); ++i) {
+    double served = 0, demand = 0;
+    for (const std::size_t node : with_teams_of(input.teams, i))
+      served += plan.teams[node].served, demand += plan.teams[node].demand;
+    if (demand <= kNegligible && input.teams[i].name == "rest") continue;
+    text += fmt::format("      '{}'+: {{ budget_s: {:.1f} }},  // asked for: {:.1f}\n", input.teams[i].name,
+                        served * span_s, demand * span_s);
   }
-  return out + "    },\n  },\n}\n";
+  return text + "    },\n  },\n}\n";
 }
 
 }  // namespace yokestream::budget_planner
--- a/src/throttle/capacity.cpp
+++ b/src/throttle/capacity.cpp
@@ -8,95 +8,114 @@
 namespace yokestream::throttle {
 namespace {
 
-constexpr Duration kWindow = std::chrono::milliseconds(200);
-constexpr int kFew = 6;  // outcomes that a window needs to be judged; else it grows
-constexpr Duration kLongest = std::chrono::milliseconds(800);      // and is judged all the same
-constexpr Duration kBetweenCuts = std::chrono::milliseconds(400);  // for a cut to show in answers
-constexpr double kFar = 3.0;   // stretch over best at which the bound is cut
-constexpr double kNear = 2.2;  // under which it is widened
-constexpr double kCut = 0.85, kWiden = 1.08;
-constexpr double kFloorPerCore = 1.25;
-constexpr double kCeiling = 1.15;     // times the bound's start
-constexpr double kSmooth = 0.3;       // weight of a window
-constexpr double kBestRise = 0.0005;  // by which the best follows a worse level, an outcome
-constexpr double kRefused = 1.2;      // logarithm: what one that the module turned away counts for
-constexpr double kMostOver = 3;       // logarithm; no outcome counts for more
-constexpr double kMostRate = 1.3;     // of a core: some are faster, and warm groups save work
-constexpr double kFirstUse = 0.85;    // of the cores, before anything is learnt
+// A window closes when it is kMinWindow old and holds kMinWindowOutcomes, and at kMaxWindow in any case.
+constexpr Duration kMinWindow = std::chrono::milliseconds(200);
+constexpr Duration kMaxWindow = std::chrono::milliseconds(800);
+constexpr int kMinWindowOutcomes = 6;
+// A reduction needs this long to show in the latencies.
+constexpr Duration kMinReductionInterval = std::chrono::milliseconds(400);
+// Stretch over the best: above the first the limit is reduced, below the second it is raised.
+constexpr double kReduceAboveStretch = 3.0;
+constexpr double kRaiseBelowStretch = 2.2;
+constexpr double kReduceFactor = 0.85, kRaiseFactor = 1.08;
+constexpr double kMinThreadsPerCore = 1.25;
+constexpr double kMaxLimitOverInitial = 1.15;
+constexpr double kWindowWeight = 0.3;    // of one window in the moving averages
+constexpr double kBestFallWeight = 0.2;  // of one outcome, where the best falls
+constexpr double kBestRiseWeight = 0.0005;
+constexpr double kMinStretch = 1e-2, kMaxStretch = 1e4;
+constexpr double kRejectedLogStretch = 1.2;  // what a rejection by the decision module counts as
+constexpr double kMaxLogStretch = 3;         // of one outcome
+constexpr double kMinRatePerCore = 0.05;
+constexpr double kMaxRatePerCore = 1.3;  // above 1: some cores are faster, and warm table groups save work
+constexpr double kInitialRatePerCore = 0.85;  // before anything is learned
+constexpr double kMinWeight = 1e-6;           // avoids division by zero
 
 }  // namespace
 
-Capacity::Capacity(std::size_t classes, double threads_per_core)
-    : first_(threads_per_core), bound_(threads_per_core), rate_(kFirstUse), classes_(classes) {}
+Capacity::Capacity(std::size_t classes, double initial_threads_per_core)
+    : initial_threads_per_core_(initial_threads_per_core),
+      limit_(initial_threads_per_core),
+      drain_rate_(kInitialRatePerCore),
+      classes_(classes) {}
 
-// The list tells of engines seconds late, but what it tells is certain: the bound moves with it at once.
+// The engine list reports changes seconds late, but reliably, so the limit follows it at once.
 void Capacity::set_cores(double cores) {
   if (cores <= 0 || cores == cores_) return;
-  bound_ *= cores / cores_;
-  rate_ *= cores / cores_;
+  limit_ *= cores / cores_;
+  drain_rate_ *= cores / cores_;
   cores_ = cores;
 }
 
-double Capacity::stretch() const { return std::exp(over_); }
+double Capacity::stretch() const { return std::exp(log_stretch_); }
 
-void Capacity::on_finished(Time now, std::size_t cls, double stretch, double cost, bool waiting) {
+void Capacity::on_finished(Time now, std::size_t query_class, double stretch, double cost, bool has_queued) {
   window_cost_ += cost;
-  if (stretch > 0 && cls < classes_.size()) {
-    Class& c = classes_[cls];
-    const double level = std::log(std::clamp(stretch, 1e-2, 1e4));
-    if (!c.seen || level < c.best)
-      c.best = c.seen ? c.best + 0.2 * (level - c.best) : level, c.seen = true;
+  if (stretch > 0 && query_class < classes_.size()) {
+    ClassBaseline& baseline = classes_[query_class];
+    const double level = std::log(std::clamp(stretch, kMinStretch, kMaxStretch));
+    double& best = baseline.best_log_stretch;
+    if (!baseline.seen || level < best)
+      best = baseline.seen ? best + kBestFallWeight * (level - best) : level, baseline.seen = true;
     else
-      c.best += kBestRise * (level - c.best);
-    window_over_ += cost * std::clamp(level - c.best, 0.0, kMostOver);
+      best += kBestRiseWeight * (level - best);
+    window_log_stretch_ += cost * std::clamp(level - best, 0.0, kMaxLogStretch);
     window_weight_ += cost;
     ++window_count_;
   }
-  tick(now, waiting);
+  tick(now, has_queued);
 }
 
-void Capacity::on_request_finished(Time now, std::size_t cls, double threads, double taken,
-                                   const Outcome& outcome, bool waiting) {
-  if (outcome.rejected_by_policy) return on_rejected(now, taken, waiting);
-  if (!outcome.served()) return on_finished(now, cls, 0, 0, waiting);
-  const double cost = outcome.actual_cost_s(taken);
-  on_finished(now, cls, seconds_of(outcome.latency) * threads / std::max(cost, 1e-6), cost, waiting);
+void Capacity::on_request_finished(Time now, std::size_t query_class, double threads, double estimated_cost,
+                                   const Outcome& outcome, bool has_queued) {
+  if (outcome.rejected_by_policy) return on_rejected(now, estimated_cost, has_queued);
+  if (!outcome.served()) return on_finished(now, query_class, 0, 0, has_queued);
+  const double cost = outcome.actual_cost_s(estimated_cost);
+  const double stretch = seconds_of(outcome.latency) * threads / std::max(cost, kMinWeight);
+  on_finished(now, query_class, stretch, cost, has_queued);
 }
 
-void Capacity::on_rejected(Time now, double cost, bool waiting) {
-  window_over_ += cost * kRefused;
+void Capacity::on_rejected(Time now, double cost, bool has_queued) {
+  window_log_stretch_ += cost * kRejectedLogStretch;
   window_weight_ += cost;
   ++window_count_;
-  tick(now, waiting);
+  tick(now, has_queued);
 }
 
-void Capacity::tick(Time now, bool waiting) {
-  if (window_ == Time{}) window_ = now;
-  const Duration length = now - window_;
-  if (length >= kLongest || (length >= kWindow && window_count_ >= kFew)) close_window(now, waiting);
+void Capacity::tick(Time now, bool has_queued) {
+  if (window_start_ == Time{}) window_start_ = now;
+  const Duration length = now - window_start_;
+  if (length >= kMaxWindow || (length >= kMinWindow && window_count_ >= kMinWindowOutcomes))
+    close_window(now, has_queued);
 }
 
-void Capacity::close_window(Time now, bool waiting) {
-  const double seconds = seconds_of(now - window_);
+void Capacity::close_window(Time now, bool has_queued) {
+  const double seconds = seconds_of(now - window_start_);
   const double rate = window_cost_ / seconds;
-  // What is finished while nobody waits says only what was asked for, not what could be done.
-  if (waiting)
-    rate_ += (rate_learnt_ ? kSmooth : 1) * (rate - rate_), rate_learnt_ = true;
+  // Without queued requests the finished work shows only the demand, not what the engines could do. Then the
+  // rate is only raised, and with a smaller weight.
+  if (has_queued)
+    drain_rate_ += (drain_rate_learned_ ? kWindowWeight : 1) * (rate - drain_rate_),
+        drain_rate_learned_ = true;
   else
-    rate_ += std::max(0.0, kSmooth * kSmooth * (rate - rate_));
-  rate_ = std::clamp(rate_, 0.05 * cores_, kMostRate * cores_);
-  if (window_count_ > 0) over_ += kSmooth * (window_over_ / std::max(1e-6, window_weight_) - over_);
-  if (window_count_ == 0 && waiting) over_ = std::min(kMostOver, over_ + kSmooth);  // nothing comes back
-  if (over_ > std::log(kFar) && now - cut_ >= kBetweenCuts) {
-    bound_ *= kCut;
-    cut_ = now;
-  } else if (over_ < std::log(kNear)) {
-    bound_ = std::max(waiting ? bound_ * kWiden : bound_, std::min(first_ * cores_, bound_ * kWiden));
+    drain_rate_ += std::max(0.0, kWindowWeight * kWindowWeight * (rate - drain_rate_));
+  drain_rate_ = std::clamp(drain_rate_, kMinRatePerCore * cores_, kMaxRatePerCore * cores_);
+  if (window_count_ > 0)
+    log_stretch_ +=
+        kWindowWeight * (window_log_stretch_ / std::max(kMinWeight, window_weight_) - log_stretch_);
+  // Requests are queued, but none finished in the whole window: counts as congestion.
+  if (window_count_ == 0 && has_queued) log_stretch_ = std::min(kMaxLogStretch, log_stretch_ + kWindowWeight);
+  if (log_stretch_ > std::log(kReduceAboveStretch) && now - last_reduction_ >= kMinReductionInterval) {
+    limit_ *= kReduceFactor;
+    last_reduction_ = now;
+  } else if (log_stretch_ < std::log(kRaiseBelowStretch)) {
+    limit_ = std::max(has_queued ? limit_ * kRaiseFactor : limit_,
+                      std::min(initial_threads_per_core_ * cores_, limit_ * kRaiseFactor));
   }
-  const double least = std::min(kFloorPerCore, first_) * cores_;
-  bound_ = std::clamp(bound_, least, kCeiling * first_ * cores_);
-  window_ = now;
-  window_cost_ = window_over_ = window_weight_ = 0;
+  const double floor = std::min(kMinThreadsPerCore, initial_threads_per_core_) * cores_;
+  limit_ = std::clamp(limit_, floor, kMaxLimitOverInitial * initial_threads_per_core_ * cores_);
+  window_start_ = now;
+  window_cost_ = window_log_stretch_ = window_weight_ = 0;
   window_count_ = 0;
 }
 
--- a/src/throttle/cost.h
+++ b/src/throttle/cost.h
@@ -1,9 +1,10 @@
-// What a request costs, in seconds of one core: the told estimate, corrected by what its kind really cost.
+// Estimates what a request costs, in core seconds: the client's estimate, corrected by what such requests
+// have really cost.
 //
-// The kind is the class, and the member and the class together once that pair has a few outcomes: a member
-// that tells a tenth of the truth is charged the truth soon. Where nothing is told, the mean of the kind
-// counts. Memory: one record for each pair of member and class, and one a class for whoever is no member
-// (an owner the settings do not name); a class out of range counts as the last. Pure.
+// The correction is learned per class and, once a pair of tenant and class has a few outcomes, per pair, so
+// that a tenant that reports a tenth of the truth is soon charged the truth. Without a client's estimate the
+// mean cost is used. Memory: one record per pair of tenant and class, and one per class for owners that the
+// settings do not name. A class out of range counts as the last one.
 #pragma once
 
 #include <algorithm>
@@ -14,24 +15,27 @@
 
 class CostEstimator {
  public:
-  CostEstimator(std::size_t members, std::size_t classes);
-  double estimate_s(std::size_t member, std::size_t cls, double told) const;  // told 0: not told
-  // What it really cost, 0: not told; and what was told before.
-  void record(std::size_t member, std::size_t cls, double told, double real);
+  CostEstimator(std::size_t tenants, std::size_t classes);
+  // `reported_s` is the client's estimate; 0: none.
+  double estimate_s(std::size_t tenant, std::size_t query_class, double reported_s) const;
+  // Learns from a finished request. `measured_s` is what it really cost; 0: not known, so ignored.
+  void record(std::size_t tenant, std::size_t query_class, double reported_s, double measured_s);
 
  private:
-  struct Kind {
-    double count = 0, factor = 0, mean = 0;  // factor: mean logarithm of real over told
+  struct Statistics {
+    double count = 0;
+    double log_ratio = 0;  // mean logarithm of measured over reported cost
+    double mean_s = 0;     // measured cost
   };
-  static void take(Kind& kind, double told, double real);
-  std::size_t kind(std::size_t cls) const { return std::min(cls, classes_ - 1); }
-  // Who is no member shares the slot after the last member.
-  std::size_t pair(std::size_t member, std::size_t cls) const {
-    return std::min(member, members_) * classes_ + kind(cls);
+  static void update(Statistics& statistics, double reported_s, double measured_s);
+  std::size_t class_index(std::size_t query_class) const { return std::min(query_class, classes_ - 1); }
+  // Unknown tenants share the slot after the last tenant.
+  std::size_t pair_index(std::size_t tenant, std::size_t query_class) const {
+    return std::min(tenant, tenants_) * classes_ + class_index(query_class);
   }
 
-  std::size_t members_, classes_;
-  std::vector<Kind> kinds_, pairs_;
+  std::size_t tenants_, classes_;
+  std::vector<Statistics> by_class_, by_pair_;
 };
 
 }  // namespace yokestream::throttle
--- a/src/throttle/outcome.h
+++ b/src/throttle/outcome.h
@@ -1,4 +1,4 @@
-// What the stations hear of a request that is over.
+// How a request ended, as reported to the admission stages (throttle and scheduler).
 #pragma once
 
 #include <optional>
@@ -8,34 +8,35 @@
 namespace yokestream::throttle {
 
 struct Outcome {
-  bool executed = false;            // did any engine work for it?
-  policy::Duration latency{};       // from passing to the answer; zero: it was not served
-  double measured_work_s = 0;       // the work that the engine told, in seconds of one core; 0: not told
-  bool rejected_by_policy = false;  // the module turned it away
+  bool executed = false;            // an engine has done work for it
+  policy::Duration latency{};       // from its admission to the answer; zero: not served
+  double measured_work_s = 0;       // core seconds as reported by the engine; 0: not reported
+  bool rejected_by_policy = false;  // the decision module rejected it
 
   bool served() const { return latency > policy::Duration{}; }
-  // What it cost, in seconds of one core, where `taken` was what it was taken to cost.
+  // Core seconds: the measured work, else the estimate if the request ran.
   double actual_cost_s(double estimated_cost_s) const {
     return measured_work_s > 0 ? measured_work_s : executed ? estimated_cost_s : 0;
   }
 };
 
-// A request that is over, in a station that keeps `waits` (by query: its `ref` in `queue`) and `in` (by
-// query: what it was let in as). Where it waited it is forgotten; what it was let in as is taken out and
-// returned. Nothing: it waited, or the station never knew it.
-template <class Waits, class Queue, class Ins>
-std::optional<typename Ins::mapped_type> remove_finished(Waits& waits, Queue& queue, Ins& in,
-                                                         const typename Ins::key_type& query) {
-  if (const auto it = waits.find(query); it != waits.end()) {
+// Removes a finished request from an admission stage. `queued` holds, by query, a record with the entry's
+// `ref` in `queue`; `in_flight` holds the records of admitted requests. Returns the record of an admitted
+// request; nullopt if the request was queued or is not known.
+template <class Queued, class Queue, class InFlight>
+std::optional<typename InFlight::mapped_type> remove_finished(Queued& queued, Queue& queue,
+                                                              InFlight& in_flight,
+                                                              const typename InFlight::key_type& query) {
+  if (const auto it = queued.find(query); it != queued.end()) {
     queue.remove(it->second.ref);
-    waits.erase(it);
+    queued.erase(it);
     return std::nullopt;
   }
-  const auto it = in.find(query);
-  if (it == in.end()) return std::nullopt;
-  auto out = std::move(it->second);
-  in.erase(it);
-  return out;
+  const auto it = in_flight.find(query);
+  if (it == in_flight.end()) return std::nullopt;
+  auto removed = std::move(it->second);
+  in_flight.erase(it);
+  return removed;
 }
 
 }  // namespace yokestream::throttle
--- a/src/throttle/throttle.h
+++ b/src/throttle/throttle.h
@@ -1,21 +1,20 @@
-// The door: the station before the decision module. It decides who goes on, who waits and who is turned away,
-// so that one member's flood takes nothing from the others' shares.
+// The throttle: the admission stage in front of the scheduler and the decision module. It admits, queues or
+// rejects each request, so that a flood from one tenant does not reduce the shares of the others.
 //
-//  - It is told events with a time and answers with rulings; the core carries them out. It does no I/O, reads
-//  no
-//    clock, talks to no client and no engine, and judges a request once: what has passed is the module's, so
-//    nothing here can make a load run twice, and refusing is always harmless.
-//  - Within the bound on work in (capacity.h) everybody passes at once: an idle or lightly loaded door
-//  changes
-//    nothing. At the bound requests wait in fair queues (fair_queue.h); who would wait too long, or for whom
-//    the time left would not suffice afterwards, is turned away at once with a time to come back.
-//  - A hint is a promise: a place in the member's part of what the engines finish, booked one after another,
-//  so
-//    that those who come back do not come at one moment. Who comes at that time goes before newcomers; who
-//    comes early hears the same time again, at the cost of one table look-up.
+//  - It is given events with a time and returns decisions, which the dispatcher carries out. It does no I/O
+//    and reads no clock. It decides once on each request: an admitted request belongs to the next stage. So
+//    the throttle can never make a load run twice, and a rejection is always harmless.
+//  - Below the concurrency limit (capacity.h) every request is admitted at once, so an idle or lightly loaded
+//    throttle has no effect. At the limit requests wait in fair queues (fair_queue.h). A request that would
+//    wait too long, or could not finish in the time left after its wait, is rejected at once with a
+//    retry-after time.
+//  - A retry-after time comes with a reservation (reservations.h): a turn in the tenant's share of the drain
+//    rate. Turns are assigned one after another, so that rejected clients do not come back at the same
+//    moment. A client that comes back at that time goes before new requests; one that comes back early is
+//    told the same time again, at the cost of one table look-up.
 //
-// One thread may call it. Memory: all made at the start, bounded by Settings (see bytes()), whatever the
-// number of clients; requests that are in are counted, one record each, and bounded by the core's own limits.
+// Not thread-safe. Memory: allocated at the start and bounded by Settings (see memory_bytes()), whatever the
+// number of clients, but for one record per admitted request, whose number the dispatcher's limits bound.
 #pragma once
 
 #include <array>
@@ -26,11 +25,11 @@
 #include <vector>
 
 #include "throttle/capacity.h"
-#include "throttle/clients.h"
+#include "throttle/client_queues.h"
 #include "throttle/cost.h"
 #include "throttle/fair_queue.h"
 #include "throttle/outcome.h"
-#include "throttle/places.h"
+#include "throttle/reservations.h"
 #include "throttle/settings.h"
 
 namespace yokestream::throttle {
@@ -38,86 +37,89 @@
 struct Arrival {
   QueryId query{};
   std::size_t tenant = 0, query_class = 0;
-  std::uint64_t client = 0;     // who shares a queue and may claim a kept place
-  double estimated_work_s = 0;  // the estimate, in seconds of one core; 0: none
-  double threads = 1;           // that it runs on
+  std::uint64_t client = 0;     // requests of one client share a queue and a reservation
+  double estimated_work_s = 0;  // core seconds as estimated by the client; 0: no estimate
+  double threads = 1;           // on which it will run
   Time deadline{};
 };
 
 enum class Decision { admit, queue, reject };
 struct Admission {
   Decision decision = Decision::admit;
-  Duration retry_after{};  // turned away: when to come back
-  double cost = 0;         // else: what it is taken to cost, in seconds of one core
+  Duration retry_after{};  // if rejected
+  double cost = 0;         // estimate in core seconds, unless rejected
 };
-struct QueuedDecision {  // one that waited
+struct QueuedDecision {  // on a request that was queued
   QueryId query{};
   Admission admission;
 };
 
-// What operators see; counts since the start. See docs/operators/door.md.
+// For operators; counters since the start. See docs/operators/door.md.
 struct Metrics {
-  std::uint64_t arrived = 0, admitted_immediately = 0, queued = 0, rejected = 0, early_retries = 0,
-                reservations_claimed = 0, reservations_admitted = 0;
+  std::uint64_t arrived = 0, admitted_immediately = 0, queued = 0, rejected = 0;
+  std::uint64_t early_retries = 0;  // rejected because they came before their reservation
+  std::uint64_t reservations_claimed = 0;
+  std::uint64_t reservations_admitted = 0;  // claimed ones that were admitted or queued
   std::size_t queue_length = 0, in_flight = 0, reservations = 0;
   double concurrency_limit = 0, threads_in_flight = 0, drain_rate = 0, stretch = 1;
 };
 
 class Throttle {
  public:
-  Throttle(Settings settings, std::size_t members, std::size_t classes);
+  Throttle(Settings settings, std::size_t tenants, std::size_t classes);
 
-  void configure(const Settings& settings);  // weights, times and hints take effect at once; sizes do not
+  // Weights, times and fractions take effect at once; the sizes of queue and tables do not change.
+  void configure(const Settings& settings);
   void set_cores(double cores) { capacity_.set_cores(cores); }
   double limit_multiplier() const { return settings_.limit_multiplier; }
 
   Admission offer(Time now, const Arrival& arrival);
-  // Over, in whatever way: given up while it waited, or finished after it passed.
+  // The request is over: cancelled while queued, or finished after its admission.
   void on_request_finished(Time now, QueryId query, const Outcome& outcome);
-  // The next of those who waited that is to go on or to be turned away now; nullopt: nobody.
+  // The next queued request that is to be admitted or rejected now; nullopt: none.
   std::optional<QueuedDecision> next_decision(Time now);
-  Time next_due(Time now) const;  // when next() may have something to say though nothing happens
+  Time next_due(Time now) const;  // when to call next_decision() even if nothing happens before
 
   Metrics metrics() const;
-  static std::size_t memory_bytes(const Settings& settings, std::size_t members);
+  static std::size_t memory_bytes(const Settings& settings, std::size_t tenants);
 
  private:
-  struct In {  // passed, not over
-    std::uint32_t member = 0, queue = 0, cls = 0;
-    double told = 0, cost = 0, threads = 1;
-    Time since{};
+  struct InFlight {
+    std::uint32_t tenant = 0, queue = 0, query_class = 0;
+    double reported_s = 0, cost = 0, threads = 1;
+    Time admitted_at{};
   };
-  struct Waits {
+  struct Queued {
     FairQueue::Ref ref = FairQueue::kNone;
-    std::uint32_t cls = 0;
-    double told = 0;
-    std::uint64_t key = 0;
+    std::uint32_t query_class = 0;
+    double reported_s = 0;
+    std::uint64_t client_key = 0;
   };
-  struct Member {
-    double threads_in = 0;
-    std::size_t in = 0;
-    Time asked{};                                 // its last arrival
-    std::array<Time, Clients::kQueues> booked{};  // by queue: the last kept place
+  struct Tenant {
+    double threads_in_flight = 0;
+    std::size_t in_flight = 0;
+    Time last_arrival{};
+    std::array<Time, ClientQueues::kQueues> last_reserved{};  // by queue: due time of the last reservation
   };
-  bool may_pass(std::size_t member, double threads) const;
-  double share(std::size_t member) const { return queue_.weight(member) / weights_; }
-  double rate_of(Time now, std::size_t member) const;
+  bool may_pass(std::size_t tenant, double threads) const;
+  double share(std::size_t tenant) const { return queue_.weight(tenant) / total_weight_; }
+  double drain_rate_of(Time now, std::size_t tenant) const;
   Duration service_time(const Arrival& arrival, double cost) const;
-  void enter(Time now, QueryId query, const In& in);
-  Admission turn_away(Time now, std::size_t member, std::size_t queue, std::uint64_t key, double cost);
-  QueuedDecision put_out(Time now, FairQueue::Ref ref);
+  void add_in_flight(Time now, QueryId query, const InFlight& request);
+  Admission reject(Time now, std::size_t tenant, std::size_t queue, std::uint64_t client_key, double cost);
+  QueuedDecision reject_queued(Time now, FairQueue::Ref ref);
 
   Settings settings_;
   Capacity capacity_;
   CostEstimator cost_;
-  Clients clients_;
+  ClientQueues client_queues_;
   FairQueue queue_;
-  Places places_;
-  std::vector<Member> members_;
-  double weights_ = 1, threads_in_ = 0;
-  std::pmr::unsynchronized_pool_resource pool_;  // what goes and comes takes nothing from the heap
-  std::pmr::unordered_map<QueryId, In> in_{&pool_};
-  std::pmr::unordered_map<QueryId, Waits> waits_{&pool_};
+  Reservations reservations_;
+  std::vector<Tenant> tenants_;
+  double total_weight_ = 1, threads_in_flight_ = 0;
+  std::pmr::unsynchronized_pool_resource pool_;  // reuses the map nodes without heap allocations
+  std::pmr::unordered_map<QueryId, InFlight> in_flight_{&pool_};
+  std::pmr::unordered_map<QueryId, Queued> queued_{&pool_};
   std::vector<QueuedDecision> evicted_;
   std::uint64_t random_;
   Metrics metrics_;
--- a/tests/node/budget_planner_test.cpp
+++ b/tests/node/budget_planner_test.cpp
@@ -1,4 +1,4 @@
-// The planner against what can be worked out by hand and against a plain greedy reference.
+// The budget planner against results worked out by hand and against a greedy reference.
 #include "budget_planner/budget_planner.h"
 
 #include <doctest/doctest.h>
@@ -12,76 +12,77 @@
 
 using namespace budget_planner;
 
-PlanInput question_of(std::size_t teams) {
-  PlanInput q;
-  q.cores = 10, q.utilization = 1;
-  q.class_values = {1, 8};
+PlanInput input_with(std::size_t teams) {
+  PlanInput input;
+  input.cores = 10, input.utilization = 1;
+  input.class_values = {1, 8};
   for (std::size_t i = 0; i < teams; ++i) {
-    scheduler::Team t;
-    t.name = "t" + std::to_string(i);
-    q.teams.push_back(t);
+    scheduler::Team team;
+    team.name = "t" + std::to_string(i);
+    input.teams.push_back(team);
   }
-  return q;
+  return input;
 }
 
-TEST_CASE("without floors what is worth most for its work goes first, as a plain sort has it") {
+TEST_CASE("without floors, streams are served by value per engine-second, as a greedy reference does") {
   std::mt19937_64 random(4);
   for (int i = 0; i < 50; ++i) {
-    PlanInput q = question_of(3);
+    PlanInput input = input_with(3);
     for (int k = 0; k < 6; ++k)
-      q.traffic.push_back({random() % 3, random() % 2, 1 + static_cast<double>(random() % 30),
-                           0.05 * static_cast<double>(1 + random() % 40)});
-    std::vector<TrafficStream> sorted = q.traffic;
+      input.traffic.push_back({random() % 3, random() % 2, 1 + static_cast<double>(random() % 30),
+                               0.05 * static_cast<double>(1 + random() % 40)});
+    std::vector<TrafficStream> sorted = input.traffic;
     std::sort(sorted.begin(), sorted.end(), [&](const TrafficStream& a, const TrafficStream& b) {
-      return q.class_values[a.cls] / a.work_s > q.class_values[b.cls] / b.work_s;
+      return input.class_values[a.query_class] / a.work_s > input.class_values[b.query_class] / b.work_s;
     });
-    double left = 10, worth = 0;
-    for (const TrafficStream& e : sorted) {
-      const double x = std::min(left, e.per_s * e.work_s);
-      left -= x, worth += x * q.class_values[e.cls] / e.work_s;
+    double capacity_left = 10, value = 0;
+    for (const TrafficStream& stream : sorted) {
+      const double served = std::min(capacity_left, stream.per_s * stream.work_s);
+      capacity_left -= served, value += served * input.class_values[stream.query_class] / stream.work_s;
     }
-    CHECK(plan_budgets(q).value == doctest::Approx(worth));
+    CHECK(plan_budgets(input).value == doctest::Approx(value));
   }
 }
 
-TEST_CASE("floors come before worth, ceilings hold, groups count their teams") {
-  PlanInput q = question_of(3);
-  q.traffic = {{0, 0, 200, 0.1}, {1, 1, 100, 4}};  // lookups are worth 10 an engine-second, reports 2
-  q.teams[1].floor = 0.3;
-  auto p = plan_budgets(q);
-  CHECK(p.teams[0].served == doctest::Approx(7));
-  CHECK(p.teams[1].served == doctest::Approx(3));
-  CHECK(p.shortfall == doctest::Approx(0));
-  q.teams[0].ceiling = 0.4;
-  p = plan_budgets(q);
-  CHECK(p.teams[0].served == doctest::Approx(4));
-  CHECK(p.teams[1].served == doctest::Approx(6));
-  q.teams[0].group = q.teams[1].group = "t2";
-  q.teams[2].ceiling = 0.5;
-  p = plan_budgets(q);
-  CHECK(p.teams[0].served + p.teams[1].served == doctest::Approx(5));
-  CHECK(p.teams[1].served >= 3 - 1e-6);
+TEST_CASE("floors take precedence over value, ceilings hold, and groups include their teams") {
+  PlanInput input = input_with(3);
+  // Per engine-second, a request of team 0 is worth 10 and one of team 1 is worth 2.
+  input.traffic = {{0, 0, 200, 0.1}, {1, 1, 100, 4}};
+  input.teams[1].floor = 0.3;
+  auto plan = plan_budgets(input);
+  CHECK(plan.teams[0].served == doctest::Approx(7));
+  CHECK(plan.teams[1].served == doctest::Approx(3));
+  CHECK(plan.shortfall == doctest::Approx(0));
+  input.teams[0].ceiling = 0.4;
+  plan = plan_budgets(input);
+  CHECK(plan.teams[0].served == doctest::Approx(4));
+  CHECK(plan.teams[1].served == doctest::Approx(6));
+  input.teams[0].group = input.teams[1].group = "t2";
+  input.teams[2].ceiling = 0.5;
+  plan = plan_budgets(input);
+  CHECK(plan.teams[0].served + plan.teams[1].served == doctest::Approx(5));
+  CHECK(plan.teams[1].served >= 3 - 1e-6);
 }
 
-TEST_CASE("floors that cannot be met together are named with what is missing, and a budget is printed") {
-  PlanInput q = question_of(2);
-  q.traffic = {{0, 0, 200, 0.1}, {1, 1, 100, 4}};
-  q.teams[0].floor = 0.8, q.teams[1].floor = 0.5;
-  const auto p = plan_budgets(q);
-  CHECK(p.shortfall == doctest::Approx(3));
-  const std::string text = to_jsonnet(q, p, std::chrono::seconds(60));
+TEST_CASE("floors that cannot be met together are reported with their shortfall, and budgets are printed") {
+  PlanInput input = input_with(2);
+  input.traffic = {{0, 0, 200, 0.1}, {1, 1, 100, 4}};
+  input.teams[0].floor = 0.8, input.teams[1].floor = 0.5;
+  const auto plan = plan_budgets(input);
+  CHECK(plan.shortfall == doctest::Approx(3));
+  const std::string text = to_jsonnet(input, plan, std::chrono::seconds(60));
   CHECK(text.find("cannot be met together: 3.000") != std::string::npos);
   CHECK(text.find("missing of its floor") != std::string::npos);
   CHECK(text.find("'t0'+: { budget_s:") != std::string::npos);
-  q.cores = 0;
-  CHECK_THROWS_AS(plan_budgets(q), std::invalid_argument);
+  input.cores = 0;
+  CHECK_THROWS_AS(plan_budgets(input), std::invalid_argument);
 }
 
-TEST_CASE("expected traffic: a wrong line is named") {
+TEST_CASE("read_traffic names the line of an invalid entry") {
   const std::vector<std::string> owners{"a", "b"}, classes{"look"};
-  const auto good = read_traffic("owner,class,per_s,work_s\nb,look,3,0.5\n", owners, classes, {1, 2});
-  REQUIRE(good.size() == 1);
-  CHECK(good[0].team == 2);
+  const auto traffic = read_traffic("owner,class,per_s,work_s\nb,look,3,0.5\n", owners, classes, {1, 2});
+  REQUIRE(traffic.size() == 1);
+  CHECK(traffic[0].team == 2);
   for (const char* text :
        {"x,look,1,1", "a,nothing,1,1", "a,look,1", "a,look,one,1", "a,look,-1,1", "a,look,1,0"}) {
     CAPTURE(text);
