--- a/src/policy/attempt_events.cpp
+++ b/src/policy/attempt_events.cpp
@@ -1,4 +1,4 @@
-// How attempts end, and what is told of them meanwhile.
+// Handles the events of attempts: their end, their progress and the start of their response.
 #include <algorithm>
 
 #include "controller_impl.h"
@@ -6,7 +6,7 @@
 namespace yokestream::policy {
 namespace {
 
-// For a table group whose lock is known only by a query that waits for it.
+// Assumed remaining time of a table group lock whose holder is unknown: a waiting query is all that shows it.
 constexpr Duration kUnknownLockRemaining = std::chrono::milliseconds(1000);
 
 bool may_have_run(Outcome outcome) {
@@ -41,7 +41,8 @@
   forget_if_done(event.query);
 }
 
-// An attempt that timed out and can't be cancelled runs on: its lock and its announcement stay.
+// An attempt that timed out and can't be cancelled keeps running on the engine, so its lock and its
+// announcement to the peers stay.
 void AdmissionController::Impl::release_engine(const Query& query, const Attempt& attempt, Engine& engine,
                                                Outcome outcome) {
   const auto& query_class = class_of(query);
@@ -80,7 +81,8 @@
     case Outcome::reset:
       return outliers_.record_failure(engine.outlier, OutlierDetector::Failure::attempt_failed, now_);
     case Outcome::timed_out:
-      // Where the engine gave signs of life meanwhile the answer was lost, or is late: no fault of its own.
+      // If the engine has responded since the send, the answer is lost or late, and the engine is not at
+      // fault.
       if (engine.outlier.last_response < attempt.sent)
         outliers_.record_failure(engine.outlier, OutlierDetector::Failure::attempt_failed, now_);
       return;
@@ -96,8 +98,9 @@
   outliers_.record_response(engine.outlier, now_);
   outliers_.record_success(engine.outlier, attempt.sent);
   bound_.record_answer(engine.concurrency);
-  const bool time_is_its_own = !query.streaming && !attempt.waited_for_table_group;
-  if (time_is_its_own && !stall_.is_recovering(now_, 1))
+  // Streaming and lock waits distort the elapsed time, so such attempts are not learned from.
+  const bool elapsed_is_comparable = !query.streaming && !attempt.waited_for_table_group;
+  if (elapsed_is_comparable && !stall_.is_recovering(now_, 1))
     learn(query, attempt, engine, to_seconds(event.elapsed));
   if (event.work && *event.work > Duration{} && query.request.work)
     workload_.observe_reported_work(class_index, *query.request.work, *event.work);
@@ -160,7 +163,7 @@
   if (Engine* engine = engines_.find(event.engine.name)) outliers_.record_response(engine->outlier, now_);
 }
 
-// Only what may run again, or what nobody waits for any more, is cancelled.
+// Cancels the last attempt only if the query may run again or has already been answered.
 void AdmissionController::Impl::cancel_attempt(Query& query) {
   Attempt& attempt = query.attempts.back();
   if (!attempt.in_flight || attempt.cancelling || query.streaming) return;
--- a/src/policy/attempt_watchdog.h
+++ b/src/policy/attempt_watchdog.h
@@ -1,8 +1,8 @@
-// Judges attempts that are in flight: whether the answer is lost, whether they take too long, whether they
-// drew a bad plan, and for how long an engine may be silent.
+// Detects attempts in flight that should be cancelled: those whose answer is lost, that take too long or that
+// run a bad query plan. Also defines how long an engine may be silent.
 //
-// Decides nothing about engines and sends nothing: the controller cancels what is judged so, and the query is
-// sent elsewhere where the rules allow it.
+// It neither ejects engines nor sends anything. The controller cancels the attempts that it reports, and the
+// query is sent again where the send rules allow it.
 #pragma once
 
 #include "congestion_tracker.h"
@@ -13,25 +13,26 @@
 
 class AttemptWatchdog {
  public:
-  // All must outlive this.
+  // All arguments must outlive this object.
   AttemptWatchdog(const Settings& settings, const CongestionTracker& congestion, const RetryBudget& retries)
       : settings_(settings), congestion_(congestion), retries_(retries) {}
 
-  // `engine_last_response`: when the engine gave its last sign of life.
-  bool answer_lost(const Attempt& attempt, Time engine_last_response, Time now) const;
-  bool timed_out(const Query& query, const Attempt& attempt, Time now) const;
-  // Progress of `done` (share of the work, above 0) was told. True: the attempt has a bad plan; the query
-  // remembers how long it would have taken.
+  // `engine_last_response`: when the engine last responded to anything.
+  bool is_answer_lost(const Attempt& attempt, Time engine_last_response, Time now) const;
+  bool has_timed_out(const Query& query, const Attempt& attempt, Time now) const;
+  // Judges the attempt by its reported progress, `done` (completed fraction of the work, above 0). If the
+  // plan is bad, also stores the projected duration in the query.
   bool has_bad_plan(Query& query, const Attempt& attempt, double done, Time now) const;
-  // From when on an engine that runs this attempt counts as silent if nothing comes of it.
-  Time silence_begins(const Attempt& attempt) const;
-  // How long an engine that runs something may be silent.
-  Duration silence_limit() const;
+  // The time from which an engine that runs this attempt is expected to respond: its silence counts from
+  // here.
+  Time silence_start(const Attempt& attempt) const;
+  // How long an engine with queries in flight may be silent before it is ejected.
+  Duration max_silence() const;
 
  private:
-  double usual_time_s(const Query& query, const Attempt& attempt) const;
+  double usual_duration_s(const Query& query, const Attempt& attempt) const;
   bool may_retry(const Query& query, Time now) const;
-  bool tells_progress() const { return settings_.progress_interval > Duration{}; }
+  bool reports_progress() const { return settings_.progress_interval > Duration{}; }
 
   const Settings& settings_;
   const CongestionTracker& congestion_;
--- a/src/policy/engine.h
+++ b/src/policy/engine.h
@@ -1,5 +1,5 @@
-// What the controller keeps of one engine: what the list tells, what this manager runs there, and the part of
-// each component. Only the component that a part is named after changes it.
+// The controller's record of one engine: its entry in the engine list, what this manager runs there, and the
+// per-engine state of each component. Only the component that owns a state changes it.
 #pragma once
 
 #include "concurrency_bound.h"
@@ -15,7 +15,7 @@
 struct Engine {
   EngineEntry entry;
   double cores = 1;
-  double memory_mb = 0;  // 0: not told
+  double memory_mb = 0;  // 0: unknown
   OwnLoad own;
   LatencyEstimator::EngineState latency;
   CongestionTracker::EngineState congestion;
--- a/src/policy/engine_capacity.cpp
+++ b/src/policy/engine_capacity.cpp
@@ -5,25 +5,31 @@
 namespace yokestream::policy {
 namespace {
 
-// Threads a core that saturate an engine: where nearly all are this manager's, some of them stand still; to
-// one manager of many, whose view is old, most still do all their work.
-constexpr double kSaturationAlone = 4;
-constexpr double kSaturationOneOfMany = 2.6;
-constexpr double kOverQuotaRatio = 0.7;  // of what saturates an engine, for queries over their quota
-// Shares of an engine's memory that may be granted.
-constexpr double kMemoryRatioUnreported = 1.0;  // by all managers, as far as they are seen
-constexpr double kMemoryRatioReported = 0.8;    // the same where reports tell it: near 1 most queries spill
-constexpr double kOwnMemoryRatio = 1.5;         // of this manager's share: needs lie under the estimates
-constexpr double kLeastUnloadedSeconds = 1e-3;
+// Threads per core at which an engine is saturated. If nearly all of them belong to this manager, some wait
+// at any time. If it is one of many managers, its view is outdated, and most threads still do their full
+// work.
+constexpr double kSaturationThreadsPerCoreAlone = 4;
+constexpr double kSaturationThreadsPerCoreOfMany = 2.6;
+constexpr double kOverQuotaRatio = 0.7;  // fraction of the saturation limit for queries over their quota
+
+// Fractions of an engine's memory that may be granted by all managers together. If reports show memory use,
+// the limit is lower: close to 1, most queries spill.
+constexpr double kMemoryRatioUnreported = 1.0;
+constexpr double kMemoryRatioReported = 0.8;
+// Multiple of its share of an engine's memory that this manager may grant. It may exceed 1 because queries
+// need less memory than estimated.
+constexpr double kOwnShareMemoryRatio = 1.5;
+
+constexpr double kMinUnloadedSeconds = 1e-3;
 
 }  // namespace
 
-PeerLoad::EngineFacts EngineCapacity::facts(const Engine& engine, Time now) const {
+PeerLoad::EngineResources EngineCapacity::resources(const Engine& engine, Time now) const {
   return {engine.cores, engine.memory_mb, in_.slow_start.is_warming(engine.slow_start, now)};
 }
 
 double EngineCapacity::unloaded_s(const Query& query) const {
-  return std::max(kLeastUnloadedSeconds, query.work_s / class_of(query).threads);
+  return std::max(kMinUnloadedSeconds, query.work_s / class_of(query).threads);
 }
 
 double EngineCapacity::memory_grant_mb(const Query& query, const Engine& engine) const {
@@ -34,7 +40,7 @@
 }
 
 double EngineCapacity::peer_threads(const Engine& engine, Time now) const {
-  return in_.peer_load.threads(engine.peers, facts(engine, now));
+  return in_.peer_load.threads(engine.peers, resources(engine, now));
 }
 
 bool EngineCapacity::is_under_pressure(const Engine& engine, Time now) const {
@@ -44,9 +50,9 @@
 
 double EngineCapacity::saturation_threads_per_core(const Query& query) const {
   const double share = in_.load_share.value();
-  const double threads =
-      std::max(kSaturationOneOfMany * (1 - share),
-               kSaturationThreadsPerCore + (kSaturationAlone - kSaturationThreadsPerCore) * share);
+  const double threads = std::max(
+      kSaturationThreadsPerCoreOfMany * (1 - share),
+      kSaturationThreadsPerCore + (kSaturationThreadsPerCoreAlone - kSaturationThreadsPerCore) * share);
   return threads * (query.over_quota ? kOverQuotaRatio : 1);
 }
 
@@ -58,9 +64,9 @@
 bool EngineCapacity::fits_memory_beside_peers(const Query& query, const Engine& engine, Time now) const {
   if (engine.memory_mb <= 0) return true;
   const double ratio = in_.peer_load.memory_is_reported() ? kMemoryRatioReported : kMemoryRatioUnreported;
-  const double memory_ratio = ratio + (kOwnMemoryRatio - ratio) * in_.load_share.value();
+  const double memory_ratio = ratio + (kOwnShareMemoryRatio - ratio) * in_.load_share.value();
   const double peer_memory_mb =
-      in_.peer_load.memory_mb(engine.peers, facts(engine, now), in_.workload.unannounced());
+      in_.peer_load.memory_mb(engine.peers, resources(engine, now), in_.workload.unannounced());
   return !(engine.own.memory_mb + peer_memory_mb + memory_grant_mb(query, engine) >
            memory_ratio * engine.memory_mb);
 }
@@ -73,10 +79,10 @@
 
 bool EngineCapacity::has_capacity(const Query& query, const Engine& engine, Time now) const {
   if (in_.bound.is_saturated(engine.concurrency, now)) return false;
-  if (in_.peer_load.is_visible() && !has_capacity_beside_peers(query, engine, now)) return false;
+  if (in_.peer_load.is_observable() && !has_capacity_beside_peers(query, engine, now)) return false;
   if (engine.own.queries.empty()) return true;
   if (engine.memory_mb > 0 && engine.own.memory_mb + memory_grant_mb(query, engine) >
-                                  kOwnMemoryRatio * engine.memory_mb * engine.concurrency.share)
+                                  kOwnShareMemoryRatio * engine.memory_mb * engine.concurrency.share)
     return false;
   const double slowdown = in_.congestion.engine_slowdown(engine.congestion, now);
   return engine.own.threads <
--- a/src/policy/engine_capacity.h
+++ b/src/policy/engine_capacity.h
@@ -1,5 +1,5 @@
-// Whether an engine has capacity for a query: by what this manager runs there, by what others are seen to
-// run, and by memory.
+// Decides whether an engine has capacity for a query, from the threads and memory that this manager uses
+// there and from what is known of the other managers' load.
 #pragma once
 
 #include "concurrency_bound.h"
@@ -14,7 +14,7 @@
 
 class EngineCapacity {
  public:
-  // All must outlive this.
+  // Everything referred to must outlive this object.
   struct Inputs {
     const Settings& settings;
     const LoadShare& load_share;
@@ -27,17 +27,17 @@
   explicit EngineCapacity(const Inputs& inputs) : in_(inputs) {}
 
   bool has_capacity(const Query& query, const Engine& engine, Time now) const;
-  // Threads that all managers together may still run there; below 0: none.
+  // Threads that all managers together may still run on the engine; negative if it is over its limit.
   double free_threads(const Query& query, const Engine& engine, Time now) const;
-  // Threads that other managers run there.
+  // Estimated threads that other managers run on the engine.
   double peer_threads(const Engine& engine, Time now) const;
-  // Megabytes that the query is granted there; 0: the engine's own choice.
+  // Memory to grant to the query on this engine; 0 leaves the choice to the engine.
   double memory_grant_mb(const Query& query, const Engine& engine) const;
   bool is_under_pressure(const Engine& engine, Time now) const;
-  // Time on an idle engine, in seconds.
+  // Predicted time on an idle engine.
   double unloaded_s(const Query& query) const;
 
-  PeerLoad::EngineFacts facts(const Engine& engine, Time now) const;
+  PeerLoad::EngineResources resources(const Engine& engine, Time now) const;
 
  private:
   const ClassSettings& class_of(const Query& query) const {
--- a/src/policy/engine_events.cpp
+++ b/src/policy/engine_events.cpp
@@ -1,4 +1,4 @@
-// The engine list, probes, peers' messages, and what time alone brings.
+// Handles engine lists, ended probes, messages from peers, and timers.
 #include <algorithm>
 #include <set>
 
@@ -7,14 +7,19 @@
 namespace yokestream::policy {
 namespace {
 
-constexpr Duration kMinListRetry = std::chrono::milliseconds(250);  // after the list could not be had
+// A failed request for the engine list is repeated after a fraction of its deadline, but not sooner than
+// this.
+constexpr Duration kMinListRetryDelay = std::chrono::milliseconds(250);
 constexpr int kListRetriesWithinDeadline = 16;
-constexpr double kAnnouncedExpiryRatio = 3;  // of the remaining time told: its end was lost
+// An announced query expires after this multiple of its announced remaining time, in case the message of its
+// end was lost.
+constexpr double kAnnouncedExpiryRatio = 3;
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(400);
-constexpr Duration kSameStart = std::chrono::milliseconds(500);  // by two clocks set against the system's
-constexpr int kStallTicksBeforeSilence = 2;
+// Two processes convert the same start time by different clocks, so it may differ by this much.
+constexpr Duration kStartTimeTolerance = std::chrono::milliseconds(500);
+constexpr int kSilenceStallRecoveryTicks = 2;  // after a stall, without checks for silent engines
 
-// Lock holders of peers lie above all own queries' ids.
+// Lock holder ids of peers are above the ids of all of this manager's queries.
 LockHolder holder_of(ManagerId peer) { return (static_cast<LockHolder>(index_of(peer)) + 1) << 40; }
 
 }  // namespace
@@ -22,7 +27,7 @@
 void AdmissionController::Impl::on(const EngineList& list) {
   if (list.kind == EngineListKind::failed) {
     const Duration pause = std::max<Duration>(
-        kMinListRetry, settings_.engine_list_request_deadline / kListRetriesWithinDeadline);
+        kMinListRetryDelay, settings_.engine_list_request_deadline / kListRetriesWithinDeadline);
     return emit(StartTimer{pause, kWatchListTimer});
   }
   if (list.kind != EngineListKind::delta) {
@@ -63,12 +68,15 @@
   return engine;
 }
 
-// Failure: an earlier run of an engine taught of a warm one, or of a failing one. Symptom: a fresh engine is
-// ejected or overloaded at once. Guard: one that was started since begins as its kind.
+// Failure: the restored state was learned before the engine restarted, when it was warm or failing. Symptom:
+// a newly started engine is ejected or overloaded at once. Guard: an engine that was started since then
+// begins with the state of its kind.
 void AdmissionController::Impl::restore_engine(Engine& engine, const LearnedState::Engine& known) {
-  const auto& started_then = known.start_time;
-  const auto& started_now = engine.entry.start_time;
-  if (started_now && (!started_then || std::chrono::abs(*started_now - *started_then) > kSameStart)) return;
+  const auto& learned_start = known.start_time;
+  const auto& current_start = engine.entry.start_time;
+  if (current_start &&
+      (!learned_start || std::chrono::abs(*current_start - *learned_start) > kStartTimeTolerance))
+    return;
   engine.latency = {known.learned.interference, known.learned.mean_error};
   engine.congestion = {known.learned.log_slowdown, known.learned.recent_outcomes, restored_at_};
   outliers_.restore(engine.outlier, known.learned.failure_ratio, known.learned.ejected, restored_at_, now_);
@@ -81,14 +89,14 @@
   auto mean = peer_load_.start_refresh(load_share_.value());
   for (auto& [name, engine] : engines_.all()) {
     engine.locks.expire(now_);
-    peer_load_.sum_announced(engine.peers, now_);
+    peer_load_.update_announced(engine.peers, now_);
     slow_start_.refresh(engine.slow_start, now_);
     peer_load_.refresh(engine.peers, now_);
     if (!engine.is_up()) continue;
     total_cores_ += engine.cores * engine.slow_start.warm_fraction;
     ++engines_up;
-    const auto facts = capacity_.facts(engine, now_);
-    if (!facts.warming) peer_load_.count_in(mean, engine.peers, facts, now_);
+    const auto resources = capacity_.resources(engine, now_);
+    if (!resources.warming) peer_load_.add_to_mean(mean, engine.peers, resources, now_);
   }
   peer_load_.finish_refresh(mean);
   bound_.refresh(pool(), engines_up);
@@ -114,31 +122,32 @@
 }
 
 void AdmissionController::Impl::read_report(Engine& engine, const std::vector<double>& report) {
-  const auto queries = peer_load_.on_report(engine.peers, engine.own, capacity_.facts(engine, now_), report,
-                                            now_, workload_.unannounced(), load_share_.value());
+  const auto queries = peer_load_.on_report(engine.peers, engine.own, capacity_.resources(engine, now_),
+                                            report, now_, workload_.unannounced(), load_share_.value());
   if (queries) load_share_.observe(engine.own.queries.size(), *queries);
 }
 
 void AdmissionController::Impl::on(const PeerMessage& message) {
   const LockHolder peer = holder_of(message.sender);
-  if (const auto began = decode_began(message.payload, settings_.classes.size())) {
-    Engine* engine = engines_.find_by_hash(began->engine_hash);
+  if (const auto started = decode_started(message.payload, settings_.classes.size())) {
+    Engine* engine = engines_.find_by_hash(started->engine_hash);
     if (!engine) return;
-    const Time expires_at = now_ + from_seconds(kAnnouncedExpiryRatio * began->remaining_s);
-    peer_load_.on_peer_began(engine->peers, {peer, began->class_index, began->memory_mb, expires_at});
-    if (began->locked_tables)
-      engine->locks.acquire(*began->locked_tables, peer, now_ + from_seconds(began->remaining_s));
-    return peer_load_.sum_announced(engine->peers, now_);
+    const Time expires_at = now_ + from_seconds(kAnnouncedExpiryRatio * started->remaining_s);
+    peer_load_.on_peer_query_started(engine->peers,
+                                     {peer, started->class_index, started->memory_mb, expires_at});
+    if (started->locked_tables)
+      engine->locks.acquire(*started->locked_tables, peer, now_ + from_seconds(started->remaining_s));
+    return peer_load_.update_announced(engine->peers, now_);
   }
   const auto ended = decode_ended(message.payload);
   Engine* engine = ended ? engines_.find_by_hash(ended->engine_hash) : nullptr;
   if (!engine) return;
-  peer_load_.on_peer_ended(engine->peers, peer);
+  peer_load_.on_peer_query_ended(engine->peers, peer);
   engine->locks.release(peer);
   if (ended->reported_queries)
-    peer_load_.on_load_seen(engine->peers, engine->own, *ended->reported_queries, 0, now_,
-                            workload_.unannounced(), load_share_.value());
-  peer_load_.sum_announced(engine->peers, now_);
+    peer_load_.on_load_observed(engine->peers, engine->own, *ended->reported_queries, 0, now_,
+                                workload_.unannounced(), load_share_.value());
+  peer_load_.update_announced(engine->peers, now_);
 }
 
 void AdmissionController::Impl::on(const TimerFired& timer) {
@@ -152,20 +161,20 @@
   threshold_.update(elapsed_s, congestion_.congestion());
 }
 
-// Failure: an engine or the way to it goes dead without a word. Symptom: all that runs there runs into its
-// deadline. Guard: progress, and answers, of anything that runs there would have come by now; it is ejected,
-// and queries that may be cancelled go elsewhere.
+// Failure: an engine or its network path fails silently. Symptom: all queries on it run into their deadlines.
+// Guard: an engine with queries in flight that has sent neither progress nor an answer for too long is
+// ejected, and the queries that may be cancelled are sent elsewhere.
 void AdmissionController::Impl::watch_silent_engines() {
-  if (stall_.is_recovering(now_, kStallTicksBeforeSilence)) return;
-  const Duration limit = watchdog_.silence_limit();
+  if (stall_.is_recovering(now_, kSilenceStallRecoveryTicks)) return;
+  const Duration limit = watchdog_.max_silence();
   for (auto& [name, engine] : engines_.all()) {
     if (engine.own.queries.empty()) continue;
     cancel_stuck_attempts(engine);
     Time oldest = Time::max();
     for (const QueryId id : engine.own.queries)
-      oldest = std::min(oldest, watchdog_.silence_begins(queries_.at(id).attempts.back()));
+      oldest = std::min(oldest, watchdog_.silence_start(queries_.at(id).attempts.back()));
     if (now_ - std::max(oldest, engine.outlier.last_response) < limit) continue;
-    // One manager of many hears little of any engine: a probe tells before it is ejected.
+    // One manager of many rarely hears from any one engine, so a probe checks it before it is ejected.
     if (settings_.may_probe && now_ - engine.peers.probed_at >= limit) send_probe(engine);
     if (settings_.may_probe && now_ - engine.peers.probed_at < kProbeTimeout) continue;
     outliers_.eject_silent(engine.outlier, now_);
@@ -178,8 +187,8 @@
   for (const QueryId id : engine.own.queries) {
     Query& query = queries_.at(id);
     const Attempt& attempt = query.attempts.back();
-    if (watchdog_.answer_lost(attempt, engine.outlier.last_response, now_) ||
-        watchdog_.timed_out(query, attempt, now_))
+    if (watchdog_.is_answer_lost(attempt, engine.outlier.last_response, now_) ||
+        watchdog_.has_timed_out(query, attempt, now_))
       cancel_attempt(query);
   }
 }
--- a/src/policy/engine_registry.cpp
+++ b/src/policy/engine_registry.cpp
@@ -7,11 +7,11 @@
 namespace yokestream::policy {
 namespace {
 
-constexpr Duration kForgetAfter = std::chrono::seconds(60);  // since the last response
+constexpr Duration kGoneEngineRetention = std::chrono::seconds(60);  // since its last response
 
 bool is_stale(const Engine& engine, Time now) {
   return engine.entry.state == EngineState::gone && engine.own.queries.empty() &&
-         now - std::max(engine.outlier.last_response, kLongAgo) > kForgetAfter;
+         now - std::max(engine.outlier.last_response, kLongAgo) > kGoneEngineRetention;
 }
 
 }  // namespace
--- a/src/policy/engine_registry.h
+++ b/src/policy/engine_registry.h
@@ -1,7 +1,7 @@
-// The engines that the list has named, by name. Owns their records.
+// Owns the records of the engines that the engine list has named, by name.
 //
-// Engines are replaced for good under new names, so one that is gone, runs nothing and was silent for long is
-// forgotten; one that comes back soon is still known.
+// Engines are replaced under new names, so the record of an engine that is gone, runs nothing and has not
+// responded for a while is dropped. An engine that returns before that keeps its record.
 #pragma once
 
 #include <cstdint>
@@ -19,10 +19,10 @@
 
   Engine* find(const std::string& name);
   const Engine* find(const std::string& name) const;
-  // By the 16 bits that peers' messages name an engine by; where two have the same, the first one.
+  // By the 16-bit hash in messages from peers. If several engines share a hash, the first one added.
   Engine* find_by_hash(std::uint16_t hash);
   Engine& add(const std::string& name);
-  // Engines that a whole list does not name are gone.
+  // Marks the engines that a full list does not name as gone.
   void mark_gone_except(const std::set<std::string>& names);
   void forget_stale(Time now);
 
--- a/src/policy/engine_selector.cpp
+++ b/src/policy/engine_selector.cpp
@@ -8,20 +8,24 @@
 namespace yokestream::policy {
 namespace {
 
-constexpr double kTieRatio = 0.10;     // estimates this close are one; fewer threads a core decide
-constexpr int kMaxProbesPerQuery = 2;  // more would make all managers find the same idle engine
-constexpr Duration kProbeAgainAfter = std::chrono::milliseconds(500);
-constexpr double kProbeFromSaturation =
-    0.6;  // share of saturation, in the mean, from which all queries probe
-constexpr double kReportFreshSeconds = 0.25;  // for which a report is as good as a probe
+// Estimates that differ by less than this ratio count as equal, and the load per core decides.
+constexpr double kTieToleranceRatio = 0.10;
+// With more probes, all managers would find the same idle engine.
+constexpr int kMaxProbesPerQuery = 2;
+constexpr Duration kProbeRepeatInterval = std::chrono::milliseconds(500);
+// Ratio of the mean load to saturation from which every query probes.
+constexpr double kAlwaysProbeSaturationRatio = 0.6;
+// A report newer than this makes a probe unnecessary.
+constexpr double kReportFreshnessSeconds = 0.25;
+// A report with a higher weight than this is as recent as a probe that was just answered.
 constexpr double kFreshReportWeight = 0.8;
 constexpr double kTieBreakNoise = 1e-3;
 
 }  // namespace
 
-// What engines are compared by.
+// The criteria by which engines are compared.
 struct EngineSelector::Rank {
-  int order = 0;  // an engine just seen comes first, then one that runs nothing of this manager
+  int tier = 0;  // a freshly reported load ranks first, then having no query of this manager
   double estimate_s = 0;
   double relative_load = 0;
 };
@@ -36,9 +40,9 @@
                             in_.load_share.manager_count(), now);
 }
 
-// Failure: a load locks its table group, and whatever waits for that stands still until it ends. Symptom: a
-// query is late on an idle engine. Guard: what is left of the longest such lock is added to the estimate, as
-// no mix of classes can tell it.
+// Failure: a query that loads tables locks their table group, and queries that need the group block until it
+// ends. Symptom: a query is late on an idle engine. Guard: the remaining time of the longest such lock is
+// added to the estimate, because the mix of running classes does not show it.
 double EngineSelector::lock_wait_s(const Query& query, const Engine& engine, Time now) const {
   const auto& query_class = class_of(query);
   if (!query_class.waits_for_table_group && !query_class.locks_table_group) return 0;
@@ -67,29 +71,31 @@
   return OutlierDetector::in_panic_mode(healthy, up);
 }
 
-// The query that probes an ejected engine must be one that can be repeated and has not failed before.
+// The query that probes an ejected engine may fail there, so it must be idempotent and on its first attempt.
 bool EngineSelector::is_recovery_probe(const Query& query, const Engine& engine, Time now) const {
   return engine.outlier.ejected && now >= engine.outlier.next_recovery_probe && engine.own.queries.empty() &&
          query.attempts.empty() && class_of(query).idempotency == Idempotency::idempotent;
 }
 
-// Failure: what is not seen makes the larger kind look idlest to all managers at once. Symptom: they all send
-// there. Guard: the part that is not this manager's counts as random, so that idle engines get their share by
-// capacity.
+// Failure: without a view of each other's queries, all managers rank the engines of the largest kind as the
+// least loaded. Symptom: they all send there at once. Guard: the unknown load of the other managers is
+// replaced by a random draw, so that idle engines are chosen in proportion to their capacity.
 double EngineSelector::relative_load(const Query& query, const Engine& engine, Time now) {
   const double share = in_.load_share.value();
-  const double unseen_draw = in_.random.next();
+  const double peer_load_draw = in_.random.next();
   const double noise_draw = in_.random.next();
-  const double unseen = -std::log(1 - unseen_draw) * (1 - share) + kTieBreakNoise * noise_draw;
-  const double threads =
-      engine.own.threads + in_.capacity.peer_threads(engine, now) + class_of(query).threads * share + unseen;
+  const double random_peer_threads =
+      -std::log(1 - peer_load_draw) * (1 - share) + kTieBreakNoise * noise_draw;
+  const double threads = engine.own.threads + in_.capacity.peer_threads(engine, now) +
+                         class_of(query).threads * share + random_peer_threads;
   return threads / (engine.cores * engine.slow_start.warm_fraction);
 }
 
 bool EngineSelector::is_better(const Rank& rank, const Rank& best) const {
-  if (rank.order != best.order) return rank.order > best.order;
-  if (rank.estimate_s < best.estimate_s * (1 - kTieRatio)) return true;
-  return rank.estimate_s < best.estimate_s * (1 + kTieRatio) && rank.relative_load < best.relative_load;
+  if (rank.tier != best.tier) return rank.tier > best.tier;
+  if (rank.estimate_s < best.estimate_s * (1 - kTieToleranceRatio)) return true;
+  return rank.estimate_s < best.estimate_s * (1 + kTieToleranceRatio) &&
+         rank.relative_load < best.relative_load;
 }
 
 EngineChoice EngineSelector::choose(const Query& query, bool pool_has_capacity, Time now) {
@@ -108,7 +114,7 @@
     }
     if (!pool_has_capacity || !in_.capacity.has_capacity(query, engine, now)) continue;
     choice.free_threads += std::max(0.0, in_.capacity.free_threads(query, engine, now));
-    rank.order = (was_just_probed(engine) ? 2 : 0) + (engine.own.queries.empty() ? 1 : 0);
+    rank.tier = (was_just_probed(engine) ? 2 : 0) + (engine.own.queries.empty() ? 1 : 0);
     rank.relative_load = relative_load(query, engine, now);
     if (choice.engine && !is_better(rank, best)) continue;
     choice.engine = &engine;
@@ -118,24 +124,25 @@
   return choice;
 }
 
-// Failure: engines fill unseen by one manager of many, until they page or thrash. Symptom: queries that were
-// admitted are late by many times. Guard: where probes tell more, a query waits a tick for the answers of a
-// few engines. Where engines are idle in the mean, a light query finds capacity without.
+// Failure: other managers fill engines without this one noticing, until they page or thrash. Symptom:
+// admitted queries are very late. Guard: where probes report the load, a query waits a tick for the answers
+// of a few engines. While the mean load is low, most light queries skip the probes, since they find capacity
+// anyway.
 EngineSelector::ProbePlan EngineSelector::plan_probes(Query& query, Time now) {
   if (!probing_enabled_ || now + 2 * kTickInterval >= query.deadline) return {};
-  const double saturation = kProbeFromSaturation * kSaturationThreadsPerCore;
+  const double saturation = kAlwaysProbeSaturationRatio * kSaturationThreadsPerCore;
   const double chance_to_skip = 1 - in_.peer_load.mean_threads_per_core() / saturation;
   if (!query.probed_at && query.work_s < in_.workload.mean_work_s() && in_.random.next() < chance_to_skip)
     return {};
-  if (query.probed_at && now - *query.probed_at < kProbeAgainAfter)
+  if (query.probed_at && now - *query.probed_at < kProbeRepeatInterval)
     return {now < *query.probed_at + kTickInterval && probes_in_flight_ > 0, {}};
   query.probed_at = now;
   std::vector<Engine*> candidates;
   for (auto& [name, engine] : in_.engines.all()) {
-    const Time seen_at = std::max(engine.peers.reported_at, engine.peers.probed_at);
-    // A probe of an ejected engine is a recovery probe that costs no query.
+    const Time known_at = std::max(engine.peers.reported_at, engine.peers.probed_at);
+    // For an ejected engine this is a recovery probe that risks no query.
     if (OutlierDetector::may_probe(engine.outlier, now) && may_send(query, engine, now) &&
-        to_seconds(now - seen_at) > kReportFreshSeconds)
+        to_seconds(now - known_at) > kReportFreshnessSeconds)
       candidates.push_back(&engine);
   }
   ProbePlan plan;
--- a/src/policy/engine_selector.h
+++ b/src/policy/engine_selector.h
@@ -1,5 +1,5 @@
-// Chooses the engine for a query: of those that may take it and have capacity, the one with the shortest
-// predicted time.
+// Chooses the engine for a query: the one with the shortest predicted time among those that are permitted and
+// have capacity.
 #pragma once
 
 #include <optional>
@@ -13,17 +13,17 @@
 namespace yokestream::policy {
 
 struct EngineChoice {
-  Engine* engine = nullptr;  // nullptr: none may take it now
+  Engine* engine = nullptr;  // nullptr: none can take the query now
   double estimate_s = 0;
-  bool any_permitted = false;       // some engine could take it but for capacity
-  double free_threads = 0;          // that all engines together have left, by what is seen of all managers
-  const Engine* fastest = nullptr;  // whether it has capacity or not
+  bool any_permitted = false;       // some engine may take the query, if it has capacity
+  double free_threads = 0;          // over all engines with capacity, given the known load of all managers
+  const Engine* fastest = nullptr;  // of the permitted engines, with or without capacity
   double fastest_estimate_s = kUnlimitedSeconds;
 };
 
 class EngineSelector {
  public:
-  // All must outlive this.
+  // Everything referred to must outlive this object.
   struct Inputs {
     const Settings& settings;
     EngineRegistry& engines;
@@ -37,22 +37,21 @@
   };
   explicit EngineSelector(const Inputs& inputs);
 
-  // `pool_has_capacity`: the bound over all engines lets it go.
+  // `pool_has_capacity`: whether the bound over all engines admits the query.
   EngineChoice choose(const Query& query, bool pool_has_capacity, Time now);
   double estimate_s(const Query& query, const Engine& engine, Time now) const;
-  // Seconds that the query waits for a lock on its table group there.
+  // Expected wait for a lock on the query's table group on this engine.
   double lock_wait_s(const Query& query, const Engine& engine, Time now) const;
   bool may_send(const Query& query, const Engine& engine, Time now) const;
-  // Whether the engine's load was seen just now.
+  // Whether the engine's load was reported within the last moments.
   bool was_just_probed(const Engine& engine) const;
 
-  // Engines to probe before the query is placed, so that it waits a tick for what they tell.
+  // Engines to probe before the query is placed, and whether the query waits a tick for their answers.
   struct ProbePlan {
     bool wait = false;
     std::vector<Engine*> targets;
   };
   ProbePlan plan_probes(Query& query, Time now);
-  // A probe was sent, or has ended.
   void on_probe_sent(Engine& engine, Time now);
   void on_probe_ended() { probes_in_flight_ = std::max(0, probes_in_flight_ - 1); }
 
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -5,20 +5,22 @@
 namespace yokestream::policy {
 namespace {
 
-constexpr double kAttemptWeight = 0.25;      // of one outcome in the failure ratio
-constexpr double kRefusedWeight = 0.5;       // of a refused connection
-constexpr double kEjectionThreshold = 0.45;  // failure ratio
-constexpr double kRecoveredRatio = 0.03;     // failure ratio of an engine whose backoff starts anew
+// Weights of one outcome in the moving average of failures.
+constexpr double kAttemptWeight = 0.25;
+constexpr double kRefusedWeight = 0.5;
+// Thresholds of the failure ratio.
+constexpr double kEjectionThreshold = 0.45;
+constexpr double kRecoveredRatio = 0.03;  // below this the backoff is reset
 constexpr double kReadmittedRatio = kEjectionThreshold * 0.9;
-constexpr double kPanicThreshold = 0.34;  // healthy share of the engines that are up
+constexpr double kPanicThreshold = 0.34;  // healthy fraction of the engines that are up
 constexpr Duration kMaxBackoff = std::chrono::milliseconds(6000);
-constexpr Duration kNewsExpiry = std::chrono::seconds(6);
+constexpr Duration kRestoredStateMaxAge = std::chrono::seconds(6);
 
 }  // namespace
 
-// Failure: an engine that fails most queries, not all, looks healthy by the odd answer. Symptom: it is let
-// back at once and fails the next ones. Guard: only what was sent since its ejection lets it back, and then
-// one more failure is enough.
+// Failure: an engine that fails most but not all queries looks healthy by its occasional answers. Symptom: it
+// is readmitted at once and fails the next queries. Guard: only a success of a send made since the ejection
+// readmits it, and then a single failure ejects it again.
 void OutlierDetector::record_success(EngineState& engine, Time sent) const {
   engine.failure_ratio *= 1 - kAttemptWeight;
   if (engine.failure_ratio < kRecoveredRatio) engine.backoff = kMinBackoff;
@@ -61,7 +63,7 @@
 
 void OutlierDetector::restore(EngineState& engine, double failure_ratio, bool ejected, Time learned_at,
                               Time now) const {
-  const bool expired = now - learned_at > kNewsExpiry;
+  const bool expired = now - learned_at > kRestoredStateMaxAge;
   engine.failure_ratio = expired ? 0 : failure_ratio;
   engine.ejected = !expired && ejected;
   engine.ejected_at = learned_at;
--- a/src/policy/peer_load.h
+++ b/src/policy/peer_load.h
@@ -1,7 +1,7 @@
-// What other managers run on the engines: what they announced, what load reports show beyond that, and what
-// is presumed of engines of which nothing recent is known.
+// Estimates the threads and memory that other managers use on each engine, from their announcements, from
+// load reports, and from a default for engines without a recent report.
 //
-// Threads and megabytes. A report counts for less as it ages; in its place comes the mean over all engines.
+// The weight of a report decays with its age, and the mean over all engines takes its place.
 #pragma once
 
 #include <optional>
@@ -14,10 +14,10 @@
 
 namespace yokestream::policy {
 
-// Threads a core, of all managers together, that saturate an engine.
+// Threads per core, of all managers together, at which an engine is saturated.
 inline constexpr double kSaturationThreadsPerCore = 1.8;
 
-// What this manager runs on one engine.
+// The load that this manager has on one engine.
 struct OwnLoad {
   std::vector<double> queries_by_class;
   double threads = 0;
@@ -31,25 +31,25 @@
     LockHolder peer = 0;
     std::size_t class_index = 0;
     double memory_mb = 0;
-    Time expires_at{};  // its end was lost
+    Time expires_at{};  // in case the message of its end is lost
   };
   struct EngineState {
-    double reported_queries = 0;       // on the engine, by its last report
-    double unannounced_threads = 0;    // neither own nor announced, by the last report
-    double unannounced_memory_mb = 0;  // the same
-    double report_weight = 0;          // of the last report against the mean over all engines, 0 to 1
+    double reported_queries = 0;       // of all managers, in the last report
+    double unannounced_threads = 0;    // in the last report, neither own nor announced
+    double unannounced_memory_mb = 0;  // likewise
+    double report_weight = 0;          // of the last report relative to the mean over all engines, 0 to 1
     Time reported_at = kLongAgo;
     Time probed_at = kLongAgo;
     std::vector<AnnouncedQuery> announced;
     double announced_threads = 0;
     double announced_memory_mb = 0;
   };
-  struct EngineFacts {
+  struct EngineResources {
     double cores = 1;
-    double memory_mb = 0;  // 0: not known
-    bool warming = false;  // in slow start, which bounds it by itself
+    double memory_mb = 0;  // 0: unknown
+    bool warming = false;  // in slow start, which limits the load on its own
   };
-  // The mean over all engines, as it is put together anew.
+  // Accumulates the mean over all engines.
   struct Mean {
     double weight = 0;
     double threads_per_core = 0;
@@ -58,39 +58,40 @@
 
   explicit PeerLoad(const Settings& settings) : settings_(settings) {}
 
-  // A load report, its fields as Settings::load_report_fields. Returns the queries on the engine, where it
-  // tells of one at least.
-  std::optional<double> on_report(EngineState& engine, const OwnLoad& own, const EngineFacts& facts,
+  // Takes in a load report, whose fields are given by Settings::load_report_fields. Returns the number of
+  // queries on the engine if it is reported and at least one.
+  std::optional<double> on_report(EngineState& engine, const OwnLoad& own, const EngineResources& resources,
                                   const std::vector<double>& report, Time now,
                                   const WorkloadStatistics::UnannouncedMean& mean, double load_share);
-  // So many queries run there, and so many threads stand for the load.
-  void on_load_seen(EngineState& engine, const OwnLoad& own, double queries, double busy_threads, Time now,
-                    const WorkloadStatistics::UnannouncedMean& mean, double load_share);
-  void on_peer_began(EngineState& engine, const AnnouncedQuery& query) const;
-  void on_peer_ended(EngineState& engine, LockHolder peer) const;
-  void sum_announced(EngineState& engine, Time now) const;
+  // Takes in that `queries` run on the engine and keep `busy_threads` threads busy.
+  void on_load_observed(EngineState& engine, const OwnLoad& own, double queries, double busy_threads,
+                        Time now, const WorkloadStatistics::UnannouncedMean& mean, double load_share);
+  void on_peer_query_started(EngineState& engine, const AnnouncedQuery& query) const;
+  void on_peer_query_ended(EngineState& engine, LockHolder peer) const;
+  void update_announced(EngineState& engine, Time now) const;
 
-  // Refreshing: start, then each engine, counting in those that are up and not warming, then finish.
+  // Recomputes the means: start_refresh(), then refresh() for each engine and add_to_mean() for those that
+  // are up and not warming, then finish_refresh().
   Mean start_refresh(double load_share) const;
   void refresh(EngineState& engine, Time now) const;
-  void count_in(Mean& mean, const EngineState& engine, const EngineFacts& facts, Time now) const;
+  void add_to_mean(Mean& mean, const EngineState& engine, const EngineResources& resources, Time now) const;
   void finish_refresh(const Mean& mean);
 
-  double threads(const EngineState& engine, const EngineFacts& facts) const;
-  double memory_mb(const EngineState& engine, const EngineFacts& facts,
+  double threads(const EngineState& engine, const EngineResources& resources) const;
+  double memory_mb(const EngineState& engine, const EngineResources& resources,
                    const WorkloadStatistics::UnannouncedMean& mean) const;
-  // Mean unannounced threads a core; 0: no engine has reported.
+  // Mean of unannounced threads per core; 0 if no engine has reported.
   double mean_threads_per_core() const { return mean_threads_per_core_; }
   bool memory_is_reported() const { return mean_memory_ratio_ >= 0; }
-  // Whether anything is known of what others run.
-  bool is_visible() const;
+  // Whether there is any information about the load of other managers.
+  bool is_observable() const;
 
  private:
-  double unannounced_threads(const EngineState& engine, const EngineFacts& facts) const;
+  double unannounced_threads(const EngineState& engine, const EngineResources& resources) const;
 
   const Settings& settings_;
   double mean_threads_per_core_ = 0;
-  double mean_memory_ratio_ = -1;  // of an engine's memory; below 0: not reported
+  double mean_memory_ratio_ = -1;  // of an engine's memory; negative: not reported
 };
 
 }  // namespace yokestream::policy
--- a/src/policy/peer_messages.cpp
+++ b/src/policy/peer_messages.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr std::size_t kEndedBytes = 4;
-constexpr std::size_t kBeganBytes = 5;
-constexpr std::size_t kBeganWithTablesBytes = 7;
+constexpr std::size_t kStartedBytes = 5;
+constexpr std::size_t kStartedWithLockBytes = 7;
 constexpr double kCodesPerFactorOfE = 20;
-constexpr double kRemainingScale = 10;  // codes count tenths of a second
+constexpr double kRemainingUnitsPerSecond = 10;
 constexpr std::uint8_t kNoReport = 255;
 
 std::uint8_t to_code(double value) {
@@ -32,18 +32,18 @@
 
 }  // namespace
 
-std::uint16_t engine_hash(const std::string& name) {  // FNV-1a, folded
+std::uint16_t engine_hash(const std::string& name) {  // FNV-1a, folded to 16 bits
   std::uint32_t hash = 2166136261u;
   for (const char c : name) hash = (hash ^ static_cast<std::uint8_t>(c)) * 16777619u;
   return static_cast<std::uint16_t>(hash ^ hash >> 16);
 }
 
-std::string encode(const PeerQueryBegan& message) {
+std::string encode(const PeerQueryStarted& message) {
   std::string payload;
   put_16_bits(payload, message.engine_hash);
   payload += static_cast<char>(1 + message.class_index);
   payload += static_cast<char>(to_code(message.memory_mb));
-  payload += static_cast<char>(to_code(message.remaining_s * kRemainingScale));
+  payload += static_cast<char>(to_code(message.remaining_s * kRemainingUnitsPerSecond));
   if (message.locked_tables) put_16_bits(payload, static_cast<std::uint64_t>(*message.locked_tables));
   return payload;
 }
@@ -57,16 +57,16 @@
   return payload;
 }
 
-std::optional<PeerQueryBegan> decode_began(const std::string& payload, std::size_t classes) {
+std::optional<PeerQueryStarted> decode_started(const std::string& payload, std::size_t classes) {
   const std::size_t size = payload.size();
-  if (size != kBeganBytes && size != kBeganWithTablesBytes) return std::nullopt;
+  if (size != kStartedBytes && size != kStartedWithLockBytes) return std::nullopt;
   if (byte_at(payload, 2) == 0 || byte_at(payload, 2) > classes) return std::nullopt;
-  PeerQueryBegan message;
+  PeerQueryStarted message;
   message.engine_hash = hash_at(payload);
   message.class_index = byte_at(payload, 2) - std::size_t{1};
   message.memory_mb = from_code(byte_at(payload, 3));
-  message.remaining_s = from_code(byte_at(payload, 4)) / kRemainingScale;
-  if (size == kBeganWithTablesBytes)
+  message.remaining_s = from_code(byte_at(payload, 4)) / kRemainingUnitsPerSecond;
+  if (size == kStartedWithLockBytes)
     message.locked_tables = TableGroupId{byte_at(payload, 5) | std::uint64_t{byte_at(payload, 6)} << 8};
   return message;
 }
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -1,4 +1,4 @@
-// Sends, rejects or queues a query: the admission decision.
+// The admission decision: sends, rejects or queues a query.
 #include <algorithm>
 
 #include "controller_impl.h"
@@ -6,39 +6,41 @@
 namespace yokestream::policy {
 namespace {
 
-constexpr double kRetryAfterCostSeconds = 1.0;  // told to a query that is rejected for its cost or its quota
-constexpr double kLeastRetryAfterSeconds = 0.05;
-constexpr double kErrorMargin = 1.3;  // mean errors of an estimate that are kept free under pressure
-constexpr double kLeastAnnouncedSeconds = 1e-3;
-constexpr int kLastTicks = 2;  // before its deadline a queued query is answered
+// Sent to clients whose queries are rejected for their cost or their quota.
+constexpr double kCostRetryAfterSeconds = 1.0;
+constexpr double kMinRetryAfterSeconds = 0.05;
+// Margin kept under pressure, in mean errors of the estimate.
+constexpr double kMarginMeanErrors = 1.3;
+constexpr double kMinAnnouncedSeconds = 1e-3;
+constexpr int kFinalAnswerTicks = 2;  // a queued query is answered this many ticks before its deadline
 
-// Priorities that an engine is told, by the value of a second of work over its mean.
+// Priorities that are sent to engines, by the value per second of work relative to the mean.
 constexpr std::uint32_t kHighPriority = 3;
 constexpr std::uint32_t kMediumPriority = 2;
 constexpr std::uint32_t kLowPriority = 1;
-constexpr double kHighPriorityFrom = 1;
-constexpr double kMediumPriorityFrom = 0.1;
+constexpr double kHighPriorityMinValue = 1;
+constexpr double kMediumPriorityMinValue = 0.1;
 
 }  // namespace
 
-// Behind a query that waits for capacity nothing goes; on a tick what no longer fits is rejected all the
-// same.
+// Places queued queries by deadline. Nothing is sent once a query has to wait for capacity, but on a tick the
+// rest of the queue is still checked, to reject queries that can no longer be answered in time.
 void AdmissionController::Impl::place_queued(bool on_tick) {
   bool blocked = stall_.is_recovering(now_, 1);
-  const bool look_at_all = on_tick || blocked;
+  const bool check_all = on_tick || blocked;
   const std::vector<QueryId> order = queue_.by_deadline();
   for (const QueryId id : order) {
     if (place(queries_.at(id), !blocked) == Placement::blocks_others) blocked = true;
-    if (blocked && !look_at_all) break;
+    if (blocked && !check_all) break;
   }
   for (const QueryId id : order) forget_if_done(id);
 }
 
 AdmissionController::Impl::Placement AdmissionController::Impl::place(Query& query, bool may_send) {
-  if (!rules_.has_turn(query, now_) && now_ + kTickInterval < query.deadline)
+  if (!rules_.is_next_for_order_key(query, now_) && now_ + kTickInterval < query.deadline)
     return Placement::lets_others_pass;
   if (threshold_.rejects(workload_.cost_per_value(query)) && !rules_.out_of_attempts(query, now_)) {
-    reject(query, kRetryAfterCostSeconds);
+    reject(query, kCostRetryAfterSeconds);
     return Placement::lets_others_pass;
   }
   if (may_send) {
@@ -50,7 +52,7 @@
       bound_.pool_has_capacity(running_threads_, class_of(query).threads, congestion_.congestion());
   const EngineChoice choice = selector_.choose(query, pool_has_capacity, now_);
   if (query.over_quota && choice.any_permitted && !choice.engine) {
-    reject(query, kRetryAfterCostSeconds);
+    reject(query, kCostRetryAfterSeconds);
     return Placement::lets_others_pass;
   }
   return place_by_choice(query, choice, may_send);
@@ -70,7 +72,7 @@
       reject(query, choice.estimate_s - limit_s);
     return Placement::lets_others_pass;
   }
-  if (now_ + kLastTicks * kTickInterval >= query.deadline || rules_.out_of_attempts(query, now_)) {
+  if (now_ + kFinalAnswerTicks * kTickInterval >= query.deadline || rules_.out_of_attempts(query, now_)) {
     reject(query, 0);
     return Placement::lets_others_pass;
   }
@@ -84,24 +86,27 @@
   return choice.any_permitted ? Placement::blocks_others : Placement::lets_others_pass;
 }
 
-// Failure: many managers see the same free capacity at once, and all fill it. Symptom: an engine jumps from
-// idle to overloaded. Guard: a share of it below the query's threads is a chance to go, drawn again on the
-// next tick, when the others' sends are known. Not where the engine was probed just now: few others see it.
+// Failure: many managers see the same free capacity and fill it at the same time. Symptom: an engine goes
+// from idle to overloaded at once. Guard: if this manager's share of the free capacity is less than the
+// query's threads, the query is sent only with that probability and drawn again on the next tick, when the
+// sends of the others are known. A freshly probed engine needs no draw, because few other managers see its
+// capacity.
 bool AdmissionController::Impl::wins_capacity(const Query& query, const EngineChoice& choice) {
-  if (!peer_load_.is_visible()) return true;
+  if (!peer_load_.is_observable()) return true;
   if (choice.engine && selector_.was_just_probed(*choice.engine)) return true;
   return random_.next() * class_of(query).threads < choice.free_threads * load_share_.value();
 }
 
-// Failure: in a backlog every query leaves as late as its estimate allows. Symptom: half end just late, for
-// nothing. Guard: under pressure only an answer within the objective is worth an engine's work, and the usual
-// error of such estimates is kept free: the engine's own, lest a slow one make all reject.
+// Failure: in a backlog every query is sent as late as its estimate allows. Symptom: half of them end just
+// late, so their work is wasted. Guard: under pressure a query is sent only if it is predicted to end within
+// its objective, less the usual error of the estimate. The error is that of the engine, so that one slow
+// engine does not make all queries be rejected.
 double AdmissionController::Impl::time_limit_s(const Query& query, const Engine& engine,
                                                bool under_pressure) const {
   if (!under_pressure) return to_seconds(query.deadline - now_);
   if (query.over_quota) return 0;
   const double mean_error = engine.latency.mean_error[index_of(query.request.query_class)];
-  const double margin_s = kErrorMargin * mean_error * capacity_.unloaded_s(query);
+  const double margin_s = kMarginMeanErrors * mean_error * capacity_.unloaded_s(query);
   return to_seconds(std::min(query.objective, query.deadline) - now_) - margin_s;
 }
 
@@ -141,23 +146,23 @@
 void AdmissionController::Impl::announce_begin(const Query& query, Attempt& attempt, const Engine& engine) {
   attempt.announced = announcements_.announces(query.work_s, workload_.mean_work_s());
   if (!attempt.announced) return;
-  PeerQueryBegan message;
+  PeerQueryStarted message;
   message.engine_hash = engine_hash(engine.entry.engine.name);
   message.class_index = index_of(query.request.query_class);
   message.memory_mb = attempt.memory_grant_mb;
-  message.remaining_s = std::max(kLeastAnnouncedSeconds, attempt.estimate_s);
+  message.remaining_s = std::max(kMinAnnouncedSeconds, attempt.estimate_s);
   if (class_of(query).locks_table_group) message.locked_tables = query.request.table_group;
   emit(BroadcastToPeers{encode(message)});
 }
 
 std::uint32_t AdmissionController::Impl::priority_of(const Query& query) const {
   const double value = workload_.relative_value(query);
-  if (class_of(query).locks_table_group || value >= kHighPriorityFrom) return kHighPriority;
-  return value >= kMediumPriorityFrom ? kMediumPriority : kLowPriority;
+  if (class_of(query).locks_table_group || value >= kHighPriorityMinValue) return kHighPriority;
+  return value >= kMediumPriorityMinValue ? kMediumPriority : kLowPriority;
 }
 
-// The final answer, at once. `retry_after_s`: when it is worth trying again. A query that may have run and
-// must not run twice fails: a rejection would promise that trying again is harmless.
+// Answers the query at once. `retry_after_s`: suggested delay before the client retries. A query that may
+// have run and must not run twice fails instead, since a rejection promises that a retry is safe.
 void AdmissionController::Impl::reject(Query& query, double retry_after_s) {
   queue_.dequeue(query);
   query.finished = true;
@@ -165,7 +170,7 @@
   Duration retry_after{};
   if (settings_.may_send_retry_after)
     retry_after =
-        std::min(settings_.max_retry_after, from_seconds(std::max(kLeastRetryAfterSeconds, retry_after_s)));
+        std::min(settings_.max_retry_after, from_seconds(std::max(kMinRetryAfterSeconds, retry_after_s)));
   emit(Reject{query.request.query, retry_after});
 }
 
--- a/src/policy/send_rules.cpp
+++ b/src/policy/send_rules.cpp
@@ -36,12 +36,12 @@
   if (query_class.idempotency == Idempotency::keyed && query.may_run_since &&
       !deduplicates(query, engine, now))
     return false;
-  if (!has_turn(query, now)) return false;
+  if (!is_next_for_order_key(query, now)) return false;
   if (!query.attempts.empty() && !retries_.allows_retry(now)) return false;
   return slow_start_.allows_send(engine.slow_start, now, work_s, engine.cores, manager_count);
 }
 
-bool SendRules::has_turn(const Query& query, Time now) const {
+bool SendRules::is_next_for_order_key(const Query& query, Time now) const {
   return keys_.is_next(query, class_of(query), now);
 }
 
--- a/src/policy/send_rules.h
+++ b/src/policy/send_rules.h
@@ -1,6 +1,7 @@
-// The rules that every send keeps, first or retry, and what may be answered to a query that is not sent.
+// The rules that every send must satisfy, first attempt or retry, and which answers a query that is not sent
+// may get.
 //
-// No component but this one keeps them: whatever chooses an engine asks may_send() first.
+// Only this component enforces them: code that chooses an engine must call may_send() first.
 #pragma once
 
 #include "engine_registry.h"
@@ -13,31 +14,33 @@
 
 class SendRules {
  public:
-  // All must outlive this.
+  // All arguments must outlive this object.
   SendRules(const Settings& settings, const EngineRegistry& engines, const OrderedKeys& keys,
             const RetryBudget& retries, const SlowStart& slow_start)
       : settings_(settings), engines_(engines), keys_(keys), retries_(retries), slow_start_(slow_start) {}
 
-  // Whether the query may be sent to this engine now. `work_s`: the larger of its own and its class's usual
-  // work, which a warming engine has to bear. `manager_count`: that share the engines.
+  // Whether the query may be sent to this engine now. `work_s`: the larger of the query's work and the usual
+  // work of its class, charged to the budget of a warming engine. `manager_count`: managers that share the
+  // engines.
   bool may_send(const Query& query, const Engine& engine, double work_s, double manager_count,
                 Time now) const;
-  // Whether the class and the query's eligible engines permit this one, whatever its state.
+  // Whether the query's class and its eligible engines permit this engine, regardless of its state.
   bool is_permitted(const Query& query, const EngineEntry& entry) const;
-  // Whether the query is at the head of its order key.
-  bool has_turn(const Query& query, Time now) const;
-  // Whether nothing of it can have run twice if its client tries again elsewhere: it is rejected, not failed.
+  // Whether no earlier query of the same order key has to run first.
+  bool is_next_for_order_key(const Query& query, Time now) const;
+  // Whether the query may be rejected rather than failed: a retry by the client cannot make it run twice.
   bool may_reject(const Query& query) const;
-  // Whether no further attempt can ever be allowed.
+  // Whether no further attempt will ever be allowed.
   bool out_of_attempts(const Query& query, Time now) const;
-  // Whether an attempt may be cancelled to be sent again elsewhere.
+  // Whether the attempt may be cancelled and the query sent to another engine.
   bool may_run_again(const Query& query, const Attempt& attempt, Time now) const;
 
  private:
   const ClassSettings& class_of(const Query& query) const {
     return settings_.classes[index_of(query.request.query_class)];
   }
-  // Keyed queries: only engines that drop the duplicate, and only for as long as they remember it.
+  // Whether the engine would drop this keyed query as a duplicate of an earlier attempt: it must be within
+  // the deduplication scope, and the deduplication window must not have elapsed.
   bool deduplicates(const Query& query, const Engine& engine, Time now) const;
 
   const Settings& settings_;
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -1,9 +1,9 @@
-// Slow start: an engine that has just started does a part of its work, and must not be pushed over by all
-// managers together.
+// Slow start: an engine that has just started has only part of its capacity, and the managers together must
+// not overload it.
 //
-// Managers take turns at a warming engine: the time between two sends of one manager grows with the work that
-// it sent, and its first turn comes at a random time, so that the managers' sum over any window varies like
-// independent arrivals, with room for that. Work in seconds of one thread.
+// Each manager spaces its sends to a warming engine by an interval that grows with the work sent. Its first
+// send comes after a random part of that interval, so that the managers' total over any window varies like
+// independent arrivals; the budget leaves room for this variation. Work is in seconds of one thread.
 #pragma once
 
 #include <optional>
@@ -16,10 +16,10 @@
 class SlowStart {
  public:
   struct EngineState {
-    std::optional<Time> started;  // its last start; nullopt: long ago
+    std::optional<Time> started;  // last start; nullopt if it was long ago
     Time last_send = Time::min();
-    double wait_ratio = 1;     // of the time between two turns that is waited
-    double warm_fraction = 1;  // of its full work that it can do, as refreshed last
+    double interval_ratio = 1;  // fraction of the interval between two sends that is waited
+    double warm_fraction = 1;   // fraction of its full capacity, as of the last refresh
   };
 
   explicit SlowStart(const Settings& settings) : settings_(settings) {}
@@ -29,13 +29,13 @@
   void refresh(EngineState& engine, Time now) const { engine.warm_fraction = warm_fraction(engine, now); }
 
   bool is_warming(const EngineState& engine, Time now) const;
-  // Whether this manager has its turn with a query of so much work.
+  // Whether this manager may now send a query of this much work.
   bool allows_send(const EngineState& engine, Time now, double work_s, double cores,
                    double manager_count) const;
 
  private:
   double warm_fraction(const EngineState& engine, Time now) const;
-  double turn_interval_s(const EngineState& engine, Time now, double work_s, double cores,
+  double send_interval_s(const EngineState& engine, Time now, double work_s, double cores,
                          double manager_count) const;
 
   const Settings& settings_;
--- a/src/policy/stall_detector.h
+++ b/src/policy/stall_detector.h
@@ -1,8 +1,8 @@
-// Whether this process stood still for a moment and now receives everything at once.
+// Detects that this process was paused and now handles a backlog of events.
 //
-// Failure: after a stall, elapsed times hold the stall itself, and queued events are worked off before the
-// engine list that forbids a send. Symptom: healthy engines are judged slow; queries go to engines that
-// drain. Guard: for some ticks after a stall nothing is judged and nothing is sent.
+// Failure: after a stall, elapsed times include the stall, and queued events are handled before the engine
+// list that forbids a send. Symptom: healthy engines are judged slow, and queries are sent to draining
+// engines. Guard: for some ticks after a stall no engine is judged and nothing is sent.
 #pragma once
 
 #include "time_units.h"
@@ -11,7 +11,8 @@
 
 class StallDetector {
  public:
-  // Every event. Its own timer comes each kTickInterval, so a longer gap is a stall.
+  // To be called for every event. The controller's timer fires every kTickInterval, so a longer gap is a
+  // stall.
   void observe(Time now) {
     constexpr Duration kStallGap = std::chrono::milliseconds(100);
     if (started_ && now - last_event_ > kStallGap) resumed_at_ = now;
@@ -19,7 +20,7 @@
     last_event_ = now;
   }
   bool started() const { return started_; }
-  // Whether a stall ended less than so many ticks ago.
+  // Whether a stall ended less than `ticks` ticks ago.
   bool is_recovering(Time now, int ticks) const { return now < resumed_at_ + ticks * kTickInterval; }
 
  private:
