--- a/src/policy/send_rules.h
+++ b/src/policy/send_rules.h
@@ -28,7 +28,7 @@
   bool is_permitted(const Query& query, const EngineEntry& entry) const;
   // Whether no earlier query of the same order key has to run first.
   bool is_next_for_order_key(const Query& query, Time now) const;
-  // Whether the query may be rejected rather than failed: a retry by the client cannot make it run twice.
+  // Whether the query may be rejected rather than failed, because a retry by the client is safe.
   bool may_reject(const Query& query) const;
   // Whether no further attempt will ever be allowed.
   bool out_of_attempts(const Query& query, Time now) const;
