--- a/src/policy/engine_capacity.cpp
+++ b/src/policy/engine_capacity.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 PeerLoad::EngineResources EngineCapacity::resources(const Engine& engine, Time now) const {
-  return {engine.cores, engine.memory_mb, in_.slow_start.is_warming(engine.slow_start, now)};
+  return {engine.cores, engine.memory_mb, inputs_.slow_start.is_warming(engine.slow_start, now)};
 }
 
 double EngineCapacity::unloaded_s(const Query& query) const {
@@ -34,22 +34,22 @@
 
 double EngineCapacity::memory_grant_mb(const Query& query, const Engine& engine) const {
   const double wanted =
-      query.request.memory_mb * in_.workload.memory_factor(index_of(query.request.query_class));
+      query.request.memory_mb * inputs_.workload.memory_factor(index_of(query.request.query_class));
   if (engine.memory_mb <= 0) return wanted;
-  return std::min(wanted, engine.memory_mb * in_.settings.max_memory_grant_ratio);
+  return std::min(wanted, engine.memory_mb * inputs_.settings.max_memory_grant_ratio);
 }
 
 double EngineCapacity::peer_threads(const Engine& engine, Time now) const {
-  return in_.peer_load.threads(engine.peers, resources(engine, now));
+  return inputs_.peer_load.threads(engine.peers, resources(engine, now));
 }
 
 bool EngineCapacity::is_under_pressure(const Engine& engine, Time now) const {
-  return in_.bound.is_under_pressure(engine.concurrency,
-                                     in_.congestion.engine_slowdown(engine.congestion, now));
+  return inputs_.bound.is_under_pressure(engine.concurrency,
+                                         inputs_.congestion.engine_slowdown(engine.congestion, now));
 }
 
 double EngineCapacity::saturation_threads_per_core(const Query& query) const {
-  const double share = in_.load_share.value();
+  const double share = inputs_.load_share.value();
   const double threads = std::max(
       kSaturationThreadsPerCoreOfMany * (1 - share),
       kSaturationThreadsPerCore + (kSaturationThreadsPerCoreAlone - kSaturationThreadsPerCore) * share);
@@ -63,10 +63,10 @@
 
 bool EngineCapacity::fits_memory_beside_peers(const Query& query, const Engine& engine, Time now) const {
   if (engine.memory_mb <= 0) return true;
-  const double ratio = in_.peer_load.memory_is_reported() ? kMemoryRatioReported : kMemoryRatioUnreported;
-  const double memory_ratio = ratio + (kOwnShareMemoryRatio - ratio) * in_.load_share.value();
+  const double ratio = inputs_.peer_load.memory_is_reported() ? kMemoryRatioReported : kMemoryRatioUnreported;
+  const double memory_ratio = ratio + (kOwnShareMemoryRatio - ratio) * inputs_.load_share.value();
   const double peer_memory_mb =
-      in_.peer_load.memory_mb(engine.peers, resources(engine, now), in_.workload.unannounced());
+      inputs_.peer_load.memory_mb(engine.peers, resources(engine, now), inputs_.workload.unannounced());
   return !(engine.own.memory_mb + peer_memory_mb + memory_grant_mb(query, engine) >
            memory_ratio * engine.memory_mb);
 }
@@ -78,15 +78,15 @@
 }
 
 bool EngineCapacity::has_capacity(const Query& query, const Engine& engine, Time now) const {
-  if (in_.bound.is_saturated(engine.concurrency, now)) return false;
-  if (in_.peer_load.is_observable() && !has_capacity_beside_peers(query, engine, now)) return false;
+  if (inputs_.bound.is_saturated(engine.concurrency, now)) return false;
+  if (inputs_.peer_load.is_observable() && !has_capacity_beside_peers(query, engine, now)) return false;
   if (engine.own.queries.empty()) return true;
   if (engine.memory_mb > 0 && engine.own.memory_mb + memory_grant_mb(query, engine) >
                                   kOwnShareMemoryRatio * engine.memory_mb * engine.concurrency.share)
     return false;
-  const double slowdown = in_.congestion.engine_slowdown(engine.congestion, now);
-  return engine.own.threads <
-         in_.bound.engine_limit(engine.concurrency, slowdown, engine.cores, engine.slow_start.warm_fraction);
+  const double slowdown = inputs_.congestion.engine_slowdown(engine.congestion, now);
+  return engine.own.threads < inputs_.bound.engine_limit(engine.concurrency, slowdown, engine.cores,
+                                                         engine.slow_start.warm_fraction);
 }
 
 }  // namespace yokestream::policy
--- a/src/policy/engine_capacity.h
+++ b/src/policy/engine_capacity.h
@@ -24,7 +24,7 @@
     const SlowStart& slow_start;
     const WorkloadStatistics& workload;
   };
-  explicit EngineCapacity(const Inputs& inputs) : in_(inputs) {}
+  explicit EngineCapacity(const Inputs& inputs) : inputs_(inputs) {}
 
   bool has_capacity(const Query& query, const Engine& engine, Time now) const;
   // Threads that all managers together may still run on the engine; negative if it is over its limit.
@@ -41,13 +41,13 @@
 
  private:
   const ClassSettings& class_of(const Query& query) const {
-    return in_.settings.classes[index_of(query.request.query_class)];
+    return inputs_.settings.classes[index_of(query.request.query_class)];
   }
   bool fits_memory_beside_peers(const Query& query, const Engine& engine, Time now) const;
   bool has_capacity_beside_peers(const Query& query, const Engine& engine, Time now) const;
   double saturation_threads_per_core(const Query& query) const;
 
-  const Inputs in_;
+  const Inputs inputs_;
 };
 
 }  // namespace yokestream::policy
--- a/src/policy/engine_selector.cpp
+++ b/src/policy/engine_selector.cpp
@@ -31,13 +31,14 @@
 };
 
 EngineSelector::EngineSelector(const Inputs& inputs)
-    : in_(inputs), probing_enabled_(probing_enabled(inputs.settings)) {}
+    : inputs_(inputs), probing_enabled_(probing_enabled(inputs.settings)) {}
 
 bool EngineSelector::may_send(const Query& query, const Engine& engine, Time now) const {
   const std::size_t class_index = index_of(query.request.query_class);
-  const double usual_work_s = in_.workload.usual_work_s(class_index, in_.estimator.class_bias(class_index));
-  return in_.rules.may_send(query, engine, std::max(usual_work_s, query.work_s),
-                            in_.load_share.manager_count(), now);
+  const double usual_work_s =
+      inputs_.workload.usual_work_s(class_index, inputs_.estimator.class_bias(class_index));
+  return inputs_.rules.may_send(query, engine, std::max(usual_work_s, query.work_s),
+                                inputs_.load_share.manager_count(), now);
 }
 
 // Failure: a query that loads tables locks their table group, and queries that need the group block until it
@@ -50,9 +51,9 @@
 }
 
 double EngineSelector::estimate_s(const Query& query, const Engine& engine, Time now) const {
-  const double runs_s =
-      in_.estimator.predict_s(index_of(query.request.query_class), in_.capacity.unloaded_s(query),
-                              engine.latency, engine.own.queries_by_class, engine.slow_start.warm_fraction);
+  const double runs_s = inputs_.estimator.predict_s(
+      index_of(query.request.query_class), inputs_.capacity.unloaded_s(query), engine.latency,
+      engine.own.queries_by_class, engine.slow_start.warm_fraction);
   return runs_s + lock_wait_s(query, engine, now);
 }
 
@@ -63,8 +64,8 @@
 bool EngineSelector::in_panic_mode(const Query& query) const {
   std::size_t up = 0;
   std::size_t healthy = 0;
-  for (const auto& [name, engine] : in_.engines.all()) {
-    if (!engine.is_up() || !in_.rules.is_permitted(query, engine.entry)) continue;
+  for (const auto& [name, engine] : inputs_.engines.all()) {
+    if (!engine.is_up() || !inputs_.rules.is_permitted(query, engine.entry)) continue;
     ++up;
     if (!engine.outlier.ejected) ++healthy;
   }
@@ -81,12 +82,12 @@
 // least loaded. Symptom: they all send there at once. Guard: the unknown load of the other managers is
 // replaced by a random draw, so that idle engines are chosen in proportion to their capacity.
 double EngineSelector::relative_load(const Query& query, const Engine& engine, Time now) {
-  const double share = in_.load_share.value();
-  const double peer_load_draw = in_.random.next();
-  const double noise_draw = in_.random.next();
+  const double share = inputs_.load_share.value();
+  const double peer_load_draw = inputs_.random.next();
+  const double noise_draw = inputs_.random.next();
   const double random_peer_threads =
       -std::log(1 - peer_load_draw) * (1 - share) + kTieBreakNoise * noise_draw;
-  const double threads = engine.own.threads + in_.capacity.peer_threads(engine, now) +
+  const double threads = engine.own.threads + inputs_.capacity.peer_threads(engine, now) +
                          class_of(query).threads * share + random_peer_threads;
   return threads / (engine.cores * engine.slow_start.warm_fraction);
 }
@@ -102,7 +103,7 @@
   const bool panic = in_panic_mode(query);
   EngineChoice choice;
   Rank best;
-  for (auto& [name, engine] : in_.engines.all()) {
+  for (auto& [name, engine] : inputs_.engines.all()) {
     if (!may_send(query, engine, now)) continue;
     if (engine.outlier.ejected && !is_recovery_probe(query, engine, now) && !panic) continue;
     Rank rank;
@@ -112,8 +113,8 @@
       choice.fastest_estimate_s = rank.estimate_s;
       choice.fastest = &engine;
     }
-    if (!pool_has_capacity || !in_.capacity.has_capacity(query, engine, now)) continue;
-    choice.free_threads += std::max(0.0, in_.capacity.free_threads(query, engine, now));
+    if (!pool_has_capacity || !inputs_.capacity.has_capacity(query, engine, now)) continue;
+    choice.free_threads += std::max(0.0, inputs_.capacity.free_threads(query, engine, now));
     rank.tier = (was_just_probed(engine) ? 2 : 0) + (engine.own.queries.empty() ? 1 : 0);
     rank.relative_load = relative_load(query, engine, now);
     if (choice.engine && !is_better(rank, best)) continue;
@@ -131,14 +132,15 @@
 EngineSelector::ProbePlan EngineSelector::plan_probes(Query& query, Time now) {
   if (!probing_enabled_ || now + 2 * kTickInterval >= query.deadline) return {};
   const double saturation = kAlwaysProbeSaturationRatio * kSaturationThreadsPerCore;
-  const double chance_to_skip = 1 - in_.peer_load.mean_threads_per_core() / saturation;
-  if (!query.probed_at && query.work_s < in_.workload.mean_work_s() && in_.random.next() < chance_to_skip)
+  const double chance_to_skip = 1 - inputs_.peer_load.mean_threads_per_core() / saturation;
+  if (!query.probed_at && query.work_s < inputs_.workload.mean_work_s() &&
+      inputs_.random.next() < chance_to_skip)
     return {};
   if (query.probed_at && now - *query.probed_at < kProbeRepeatInterval)
     return {now < *query.probed_at + kTickInterval && probes_in_flight_ > 0, {}};
   query.probed_at = now;
   std::vector<Engine*> candidates;
-  for (auto& [name, engine] : in_.engines.all()) {
+  for (auto& [name, engine] : inputs_.engines.all()) {
     const Time known_at = std::max(engine.peers.reported_at, engine.peers.probed_at);
     // For an ejected engine this is a recovery probe that risks no query.
     if (OutlierDetector::may_probe(engine.outlier, now) && may_send(query, engine, now) &&
@@ -147,7 +149,7 @@
   }
   ProbePlan plan;
   while (plan.targets.size() < kMaxProbesPerQuery && !candidates.empty()) {
-    const auto i = static_cast<std::size_t>(in_.random.next() * static_cast<double>(candidates.size()));
+    const auto i = static_cast<std::size_t>(inputs_.random.next() * static_cast<double>(candidates.size()));
     plan.targets.push_back(candidates[i]);
     candidates.erase(candidates.begin() + static_cast<std::ptrdiff_t>(i));
   }
--- a/src/policy/engine_selector.h
+++ b/src/policy/engine_selector.h
@@ -58,14 +58,14 @@
  private:
   struct Rank;
   const ClassSettings& class_of(const Query& query) const {
-    return in_.settings.classes[index_of(query.request.query_class)];
+    return inputs_.settings.classes[index_of(query.request.query_class)];
   }
   bool in_panic_mode(const Query& query) const;
   bool is_recovery_probe(const Query& query, const Engine& engine, Time now) const;
   double relative_load(const Query& query, const Engine& engine, Time now);
   bool is_better(const Rank& rank, const Rank& best) const;
 
-  const Inputs in_;
+  const Inputs inputs_;
   const bool probing_enabled_;
   int probes_in_flight_ = 0;
 };
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -7,8 +7,8 @@
 //   ejected   success of a send made since the ejection      healthy; one more failure ejects it again
 //   ejected   restarted (by the engine list)                 healthy
 //
-// If most engines are ejected, ejections are ignored, since a common cause is more likely than that many
-// failing engines (panic mode). The detector itself is stateless: each engine's state is in its record.
+// If most engines are ejected, the evidence against them is considered unreliable and ejected engines are
+// used, too (panic mode). The detector itself is stateless: each engine's state is in its record.
 #pragma once
 
 #include "time_units.h"
@@ -23,11 +23,11 @@
     Time ejected_at = Time::min();
     Time next_recovery_probe = Time::min();
     Duration backoff = kMinBackoff;
-    Time last_response = Time::min();  // of any kind, failures included
+    Time last_response = Time::min();  // anything that shows the engine to be alive
   };
   enum class Failure { connection_refused, attempt_failed };
 
-  // The engine responded in some way, possibly with an error.
+  // The engine responded in some way, even with an error or by shedding.
   void record_response(EngineState& engine, Time now) const { engine.last_response = now; }
   // The engine served a query sent at `sent`, or answered a probe.
   void record_success(EngineState& engine, Time sent) const;
--- a/tests/unit/policy/slow_start_budget_test.cpp
+++ b/tests/unit/policy/slow_start_budget_test.cpp
@@ -26,7 +26,7 @@
                                        {"large engine", 16, 0.4, 2.5, 0.3, 12s, 3s},
                                        {"costly queries", 8, 0.34, 2.2, 1.5, 14s, 2500ms}};
 
-struct Case {
+struct TestCase {
   std::size_t managers = 1;
   std::size_t processes = 1;  // per manager: two during an upgrade
   double notified_late = 0;   // fraction of the managers that are notified of the start 3 s late
@@ -41,7 +41,7 @@
 
 class SlowStartSimulation {
  public:
-  SlowStartSimulation(const Deployment& deployment, const Case& test_case, std::uint32_t seed)
+  SlowStartSimulation(const Deployment& deployment, const TestCase& test_case, std::uint32_t seed)
       : deployment_(deployment), test_case_(test_case), random_(seed) {
     Settings s = make_settings({make_class(30s, 60s)});
     s.kinds = {{deployment.cores, 0}};
@@ -129,7 +129,7 @@
       window_work_s_ -= window_sends_.front().second;
       window_sends_.pop_front();
     }
-    // The limit applies as of the begin of the window, when the engine is coldest.
+    // The limit applies as of the beginning of the window, when the engine is coldest.
     const double fraction = warm_fraction(std::max(Duration{}, now_ - deployment_.overload_window));
     const double n = deployment_.overload_multiple * fraction * deployment_.cores * kCapacityCoreUtilization *
                      std::chrono::duration<double>(deployment_.overload_window).count() /
@@ -143,7 +143,7 @@
   }
 
   const Deployment& deployment_;
-  const Case test_case_;
+  const TestCase test_case_;
   std::mt19937 random_;
   std::vector<std::unique_ptr<ManagerHarness>> managers_;
   std::vector<double> query_work_s_;
@@ -155,7 +155,7 @@
 };
 
 // Requires that the budget holds for every seed and that the utilization is at least `min_utilization`.
-void check(const Case& test_case, std::uint32_t seeds, double min_utilization) {
+void check(const TestCase& test_case, std::uint32_t seeds, double min_utilization) {
   for (const Deployment& deployment : kDeployments) {
     double worst_window = 0, least_utilization = 1e9, mean_utilization = 0;
     for (std::uint32_t seed = 1; seed <= seeds; ++seed) {
