--- a/src/cli/plan.cpp
+++ b/src/cli/plan.cpp
@@ -25,7 +25,7 @@
     throw config::ConfigError(traffic, problem.what());
   }
   const auto proposal = budget_planner::propose(question);
-  std::cout << budget_planner::to_jsonnet(question, proposal, both.operators.queues.span);
+  std::cout << budget_planner::to_jsonnet(question, proposal, both.operators.queues.budget_period);
   return proposal.missing > 1e-9 ? 2 : 0;
 }
 
--- a/src/dispatch/admission_stages.cpp
+++ b/src/dispatch/admission_stages.cpp
@@ -16,7 +16,7 @@
 // Where the scheduler stands behind the throttle, that one admits more than runs: the scheduler queues it.
 throttle::Settings throttle_settings(const config::Config& config) {
   throttle::Settings settings = config.door;
-  if (config.queues.on) settings.room = config.queues.room;
+  if (config.queues.enabled) settings.room = config.queues.throttle_headroom;
   return settings;
 }
 
@@ -26,7 +26,7 @@
     : config_(config), log_(log) {
   const std::size_t classes = config.settings.classes.size();
   if (config.door.on) throttle_.emplace(throttle_settings(config), config.settings.tenants.size(), classes);
-  if (config.queues.on) scheduler_.emplace(now, config.queues, classes);
+  if (config.queues.enabled) scheduler_.emplace(now, config.queues, classes);
 }
 
 const policy::ClassSettings& AdmissionStages::class_of(const RequestReceived& request) const {
@@ -41,12 +41,12 @@
 }
 
 void AdmissionStages::configure_scheduler(Time now, const scheduler::Settings& settings) {
-  if (scheduler_ && settings.on) scheduler_->configure(now, settings);
+  if (scheduler_ && settings.enabled) scheduler_->configure(now, settings);
 }
 
 void AdmissionStages::set_cores(Time now, double cores) {
   if (throttle_) throttle_->cores(cores);
-  if (scheduler_) scheduler_->cores(now, cores);
+  if (scheduler_) scheduler_->set_cores(now, cores);
 }
 
 throttle::Verdict AdmissionStages::offer_to_throttle(Time now, QueryId query, const RequestReceived& request,
@@ -64,11 +64,11 @@
 
 scheduler::Verdict AdmissionStages::offer_to_scheduler(Time now, QueryId query,
                                                        const RequestReceived& request, double cost_s) {
-  return scheduler_->arrive(now, scheduler_arrival(now, query, request, cost_s));
+  return scheduler_->offer(now, scheduler_arrival(now, query, request, cost_s));
 }
 
-scheduler::Quote AdmissionStages::quote(Time now, const RequestReceived& request) {
-  return scheduler_->quote(now, scheduler_arrival(now, {}, request, 0));
+scheduler::WaitEstimate AdmissionStages::quote(Time now, const RequestReceived& request) {
+  return scheduler_->estimate_wait(now, scheduler_arrival(now, {}, request, 0));
 }
 
 scheduler::Arrival AdmissionStages::scheduler_arrival(Time now, QueryId query, const RequestReceived& request,
@@ -78,14 +78,15 @@
   const double estimate_s = cost_s > 0 ? cost_s : reported_s;
   scheduler::Arrival arrival;
   arrival.query = query;
-  arrival.member = static_cast<std::size_t>(request.tenant);
+  arrival.tenant = static_cast<std::size_t>(request.tenant);
   arrival.cls = static_cast<std::size_t>(request.query_class);
   arrival.estimated_work_s = estimate_s;
   arrival.threads = cls.threads;
   arrival.deadline = request.deadline;
-  arrival.wanted = now + cls.latency_objective +
-                   from_seconds(cls.latency_objective_stretch * estimate_s / std::max(1.0, cls.threads));
-  arrival.load = cls.locks_table_group || cls.idempotency != policy::Idempotency::idempotent;
+  arrival.soft_deadline =
+      now + cls.latency_objective +
+      from_seconds(cls.latency_objective_stretch * estimate_s / std::max(1.0, cls.threads));
+  arrival.is_load = cls.locks_table_group || cls.idempotency != policy::Idempotency::idempotent;
   return arrival;
 }
 
@@ -93,7 +94,7 @@
   return throttle_ ? throttle_->next(now) : std::nullopt;
 }
 
-std::optional<scheduler::Moved> AdmissionStages::next_from_scheduler(Time now) {
+std::optional<scheduler::QueueVerdict> AdmissionStages::next_from_scheduler(Time now) {
   return scheduler_ ? scheduler_->next(now) : std::nullopt;
 }
 
@@ -105,33 +106,34 @@
 
 std::uint32_t AdmissionStages::on_attempt_started(Time now, QueryId query, const std::string& engine,
                                                   std::uint32_t requested_priority) {
-  return scheduler_ ? scheduler_->started(now, query, engine, requested_priority) : requested_priority;
+  return scheduler_ ? scheduler_->on_attempt_started(now, query, engine, requested_priority)
+                    : requested_priority;
 }
 
 void AdmissionStages::on_attempt_ended(QueryId query) {
-  if (scheduler_) scheduler_->ended(query);
+  if (scheduler_) scheduler_->on_attempt_ended(query);
 }
 
 std::optional<std::uint32_t> AdmissionStages::on_priority_requested(Time now, QueryId query,
                                                                     std::uint32_t priority) {
-  return scheduler_ ? scheduler_->wish(now, query, priority) : std::optional(priority);
+  return scheduler_ ? scheduler_->on_priority_requested(now, query, priority) : std::optional(priority);
 }
 
-std::optional<scheduler::Bands::Change> AdmissionStages::next_band_change(Time now) {
-  return scheduler_ ? scheduler_->next_band(now) : std::nullopt;
+std::optional<scheduler::EnginePriorities::Change> AdmissionStages::next_band_change(Time now) {
+  return scheduler_ ? scheduler_->next_priority_change(now) : std::nullopt;
 }
 
 void AdmissionStages::on_request_finished(Time now, QueryId query, const throttle::Outcome& outcome) {
   if (throttle_) throttle_->over(now, query, outcome);
-  if (scheduler_) scheduler_->over(now, query, outcome);
+  if (scheduler_) scheduler_->on_request_finished(now, query, outcome);
 }
 
 std::optional<throttle::Figures> AdmissionStages::throttle_metrics() const {
   return throttle_ ? std::optional(throttle_->figures()) : std::nullopt;
 }
 
-std::optional<scheduler::Figures> AdmissionStages::scheduler_metrics() const {
-  return scheduler_ ? std::optional(scheduler_->figures()) : std::nullopt;
+std::optional<scheduler::Metrics> AdmissionStages::scheduler_metrics() const {
+  return scheduler_ ? std::optional(scheduler_->metrics()) : std::nullopt;
 }
 
 void AdmissionStages::log_metrics_if_due(Time now) {
@@ -156,17 +158,19 @@
 }
 
 void AdmissionStages::log_scheduler_metrics() {
-  const scheduler::Figures f = scheduler_->figures();
-  const std::uint64_t waits = f.waited + f.turned_away;
+  const scheduler::Metrics f = scheduler_->metrics();
+  const std::uint64_t waits = f.queued + f.rejected;
   if (std::exchange(logged_waits_, waits) == waits) return;
   std::ostringstream line;
   line.precision(3);
-  line << "queues arrived=" << f.arrived << " passed_at_once=" << f.passed_at_once << " waited=" << f.waited
-       << " turned_away=" << f.turned_away << " expired=" << f.expired << " rescued=" << f.rescued
-       << " quotes=" << f.quotes << " quotes_right=" << f.quotes_right << " long_quotes=" << f.long_quotes
-       << " long_quotes_right=" << f.long_quotes_right << " longest_wait=" << f.longest_wait
-       << " waiting=" << f.waiting << " in=" << f.in << " sunk=" << f.sunk << " nice=" << f.nice
-       << " pace=" << f.pace << " bound=" << f.bound << " threads_in=" << f.threads_in;
+  line << "queues arrived=" << f.arrived << " passed_at_once=" << f.admitted_immediately
+       << " waited=" << f.queued << " turned_away=" << f.rejected << " expired=" << f.expired
+       << " rescued=" << f.dispatched_overdue << " quotes=" << f.estimates
+       << " quotes_right=" << f.accurate_estimates << " long_quotes=" << f.long_estimates
+       << " long_quotes_right=" << f.accurate_long_estimates << " longest_wait=" << f.longest_wait_s
+       << " waiting=" << f.waiting << " in=" << f.admitted << " sunk=" << f.demoted
+       << " nice=" << f.priority_changes << " pace=" << f.throughput << " bound=" << f.concurrency_limit
+       << " threads_in=" << f.threads_in_use;
   log_.write(line.str());
 }
 
--- a/src/dispatch/admission_stages.h
+++ b/src/dispatch/admission_stages.h
@@ -37,10 +37,10 @@
   // has_scheduler() only. `cost_s`: core seconds by the throttle's estimate; 0: none.
   scheduler::Verdict offer_to_scheduler(Time now, policy::QueryId query, const RequestReceived& request,
                                         double cost_s);
-  scheduler::Quote quote(Time now, const RequestReceived& request);  // has_scheduler() only
+  scheduler::WaitEstimate quote(Time now, const RequestReceived& request);  // has_scheduler() only
   // The next waiting request that is admitted or rejected; nullopt: none is.
   std::optional<throttle::Moved> next_from_throttle(Time now);
-  std::optional<scheduler::Moved> next_from_scheduler(Time now);
+  std::optional<scheduler::QueueVerdict> next_from_scheduler(Time now);
   Time next_due(Time now) const;  // Time::max(): neither stage waits for a time
 
   // The priority band with which an attempt starts.
@@ -49,11 +49,11 @@
   void on_attempt_ended(policy::QueryId query);
   // The band that the engine is to be notified of; nullopt: it stays.
   std::optional<std::uint32_t> on_priority_requested(Time now, policy::QueryId query, std::uint32_t priority);
-  std::optional<scheduler::Bands::Change> next_band_change(Time now);
+  std::optional<scheduler::EnginePriorities::Change> next_band_change(Time now);
   void on_request_finished(Time now, policy::QueryId query, const throttle::Outcome& outcome);
 
   std::optional<throttle::Figures> throttle_metrics() const;
-  std::optional<scheduler::Figures> scheduler_metrics() const;
+  std::optional<scheduler::Metrics> scheduler_metrics() const;
   // Writes the stages' metrics to the log, every 10 s at most, while requests wait or are rejected.
   void log_metrics_if_due(Time now);
 
--- a/src/dispatch/attempt_tracker.cpp
+++ b/src/dispatch/attempt_tracker.cpp
@@ -165,7 +165,7 @@
   while (const auto change = use_.stages.next_band_change(use_.clock.now())) {
     const Request* request = use_.requests.find(change->query);
     if (!request || !request->attempt || request->attempt->phase != AttemptPhase::in_flight) continue;
-    use_.engines.set_priority(request->attempt->connection, request->received.request_id, change->band);
+    use_.engines.set_priority(request->attempt->connection, request->received.request_id, change->priority);
   }
 }
 
--- a/src/dispatch/client_responder.cpp
+++ b/src/dispatch/client_responder.cpp
@@ -34,12 +34,12 @@
   use_.sessions.on_response_sent(use_.clock.now(), probe.session);
 }
 
-void ClientResponder::send_quote(const RequestReceived& request, const scheduler::Quote& quote) {
+void ClientResponder::send_quote(const RequestReceived& request, const scheduler::WaitEstimate& quote) {
   use_.clients.send_quote(request.session, request.call, quote);
   use_.sessions.on_response_sent(use_.clock.now(), request.session);
 }
 
-void ClientResponder::attach_quote(const RequestReceived& request, const scheduler::Quote& quote) {
+void ClientResponder::attach_quote(const RequestReceived& request, const scheduler::WaitEstimate& quote) {
   use_.clients.attach_quote(request.session, request.call, quote);
 }
 
--- a/src/dispatch/client_responder.h
+++ b/src/dispatch/client_responder.h
@@ -34,8 +34,8 @@
   void fail(const RequestReceived& request, std::string_view cause);
   void fail(const BadRequest& bad);
   void send_readiness(const ProbeReceived& probe, bool ready);
-  void send_quote(const RequestReceived& request, const scheduler::Quote& quote);
-  void attach_quote(const RequestReceived& request, const scheduler::Quote& quote);
+  void send_quote(const RequestReceived& request, const scheduler::WaitEstimate& quote);
+  void attach_quote(const RequestReceived& request, const scheduler::WaitEstimate& quote);
 
   // The result of the attempt, whose rows and memory move to the client. Closes the call.
   void send_result(Request& request);
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -43,7 +43,7 @@
 // Quotas are kept in one place: where a stage keeps them the decision module has none.
 policy::Settings policy_settings(const config::Config& config) {
   policy::Settings settings = config.settings;
-  if (config.door.on || config.queues.on) {
+  if (config.door.on || config.queues.enabled) {
     for (auto& tenant : settings.tenants) tenant.quota_per_s = 0;
   }
   return settings;
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -48,7 +48,7 @@
   void configure(Time now, const scheduler::Settings& settings);
   // What operators see of the stages; nullopt or nullptr: the stage is off.
   std::optional<throttle::Figures> throttle_metrics() const { return stages_.throttle_metrics(); }
-  std::optional<scheduler::Figures> scheduler_metrics() const { return stages_.scheduler_metrics(); }
+  std::optional<scheduler::Metrics> scheduler_metrics() const { return stages_.scheduler_metrics(); }
   const scheduler::Scheduler* scheduler() const { return stages_.scheduler(); }
 
   void handle(Time now, Event event);
--- a/src/dispatch/ports.h
+++ b/src/dispatch/ports.h
@@ -12,7 +12,7 @@
 #include "config/members.h"
 #include "dispatch/budget.h"
 #include "protocol/engine_messages.h"
-#include "scheduler/quote.h"
+#include "scheduler/wait_estimate.h"
 #include "yokestream/policy/admission_controller.h"
 
 namespace yokestream::dispatch {
@@ -111,8 +111,8 @@
   virtual void send_failure(SessionId session, CallId call, std::string_view why) = 0;
   virtual void send_readiness(SessionId session, CallId call, bool able) = 0;
   // The wait quoted to a request that was admitted, for protocols whose answers can carry it.
-  virtual void attach_quote(SessionId, CallId, const scheduler::Quote&) {}
-  virtual void send_quote(SessionId, CallId, const scheduler::Quote&) {}
+  virtual void attach_quote(SessionId, CallId, const scheduler::WaitEstimate&) {}
+  virtual void send_quote(SessionId, CallId, const scheduler::WaitEstimate&) {}
   virtual void close(SessionId session) = 0;  // a SessionClosed follows
   // The same, unless something has come from it whose event was not raised yet; then false.
   virtual bool close_if_idle(SessionId session) = 0;
--- a/src/dispatch/request_admission.cpp
+++ b/src/dispatch/request_admission.cpp
@@ -93,10 +93,10 @@
   if (!use_.stages.has_scheduler()) return submit_to_policy(query, cost_s);
   const RequestReceived& request = use_.requests.at(query).received;
   const scheduler::Verdict verdict = use_.stages.offer_to_scheduler(use_.clock.now(), query, request, cost_s);
-  if (verdict.ruling == scheduler::Ruling::turn_away)
-    return use_.responder.reject_unsubmitted(query, verdict.hint);
-  use_.responder.attach_quote(request, verdict.quote);
-  if (verdict.ruling == scheduler::Ruling::pass) submit_to_policy(query, verdict.cost);
+  if (verdict.decision == scheduler::Decision::reject)
+    return use_.responder.reject_unsubmitted(query, verdict.retry_after);
+  use_.responder.attach_quote(request, verdict.wait_estimate);
+  if (verdict.decision == scheduler::Decision::admit) submit_to_policy(query, verdict.cost);
 }
 
 // `cost_s`: the stages' estimate in core seconds, corrected by tenant; it replaces the reported one, so that
@@ -144,10 +144,10 @@
 bool RequestAdmission::advance_scheduler() {
   const auto moved = use_.stages.next_from_scheduler(use_.clock.now());
   if (!moved) return false;
-  if (moved->verdict.ruling == scheduler::Ruling::pass)
+  if (moved->verdict.decision == scheduler::Decision::admit)
     submit_to_policy(moved->query, moved->verdict.cost);
   else
-    use_.responder.reject_unsubmitted(moved->query, moved->verdict.hint);
+    use_.responder.reject_unsubmitted(moved->query, moved->verdict.retry_after);
   return true;
 }
 
--- a/src/net/client_call.cpp
+++ b/src/net/client_call.cpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <system_error>
 
-#include "scheduler/quote.h"
+#include "scheduler/wait_estimate.h"
 #include "statement/table_group.h"
 
 namespace yokestream::net {
--- a/src/net/client_port_adapter.cpp
+++ b/src/net/client_port_adapter.cpp
@@ -39,13 +39,13 @@
 }
 
 void ClientPortAdapter::attach_quote(dispatch::SessionId id, dispatch::CallId call,
-                                     const scheduler::Quote& quote) {
+                                     const scheduler::WaitEstimate& quote) {
   if (!settings_.quote_method) return;
   if (auto* session = find(id)) session->attach_quote(call, quote);
 }
 
 void ClientPortAdapter::send_quote(dispatch::SessionId id, dispatch::CallId call,
-                                   const scheduler::Quote& quote) {
+                                   const scheduler::WaitEstimate& quote) {
   if (auto* session = find(id)) session->send_quote(call, quote);
 }
 
--- a/src/net/client_port_adapter.h
+++ b/src/net/client_port_adapter.h
@@ -32,8 +32,10 @@
   void send_rejection(dispatch::SessionId id, dispatch::CallId call, Duration retry_after) override;
   void send_failure(dispatch::SessionId id, dispatch::CallId call, std::string_view cause) override;
   void send_readiness(dispatch::SessionId id, dispatch::CallId call, bool ready) override;
-  void attach_quote(dispatch::SessionId id, dispatch::CallId call, const scheduler::Quote& quote) override;
-  void send_quote(dispatch::SessionId id, dispatch::CallId call, const scheduler::Quote& quote) override;
+  void attach_quote(dispatch::SessionId id, dispatch::CallId call,
+                    const scheduler::WaitEstimate& quote) override;
+  void send_quote(dispatch::SessionId id, dispatch::CallId call,
+                  const scheduler::WaitEstimate& quote) override;
   void close(dispatch::SessionId id) override;
   bool close_if_idle(dispatch::SessionId id) override;
   void close_after_responses(dispatch::SessionId id) override;
--- a/src/net/client_session.cpp
+++ b/src/net/client_session.cpp
@@ -10,14 +10,14 @@
 constexpr int kBurstMessages = 64;
 constexpr Duration kMessageInterval = std::chrono::milliseconds(20);
 
-protocol::Fields quote_fields(const scheduler::Quote& quote) {
+protocol::Fields quote_fields(const scheduler::WaitEstimate& quote) {
   const auto ms = [](Duration d) {
     return std::to_string(std::chrono::ceil<std::chrono::milliseconds>(d).count());
   };
   return {{"wait_ms", ms(quote.wait)},
-          {"wait_most_ms", ms(quote.wait_most)},
-          {"answer_ms", ms(quote.answer)},
-          {"answer_most_ms", ms(quote.answer_most)}};
+          {"wait_most_ms", ms(quote.wait_p90)},
+          {"answer_ms", ms(quote.response)},
+          {"answer_most_ms", ms(quote.response_p90)}};
 }
 
 }  // namespace
@@ -95,12 +95,12 @@
 }
 
 // Nothing reports the end of a cancelled call here, so the oldest quotes are dropped.
-void ClientSession::attach_quote(dispatch::CallId call, const scheduler::Quote& quote) {
+void ClientSession::attach_quote(dispatch::CallId call, const scheduler::WaitEstimate& quote) {
   attached_quotes_[call] = quote;
   if (attached_quotes_.size() > kMaxAttachedQuotes) attached_quotes_.erase(attached_quotes_.begin());
 }
 
-void ClientSession::send_quote(dispatch::CallId call, const scheduler::Quote& quote) {
+void ClientSession::send_quote(dispatch::CallId call, const scheduler::WaitEstimate& quote) {
   enqueue_bytes(protocol::encode_result(call, "", quote_fields(quote)));
 }
 
--- a/src/net/client_session.h
+++ b/src/net/client_session.h
@@ -53,8 +53,8 @@
   void send_rejection(dispatch::CallId call, Duration retry_after);
   void send_failure(dispatch::CallId call, std::string_view cause);
   void send_readiness(dispatch::CallId call, bool is_ready);
-  void attach_quote(dispatch::CallId call, const scheduler::Quote& quote);  // sent with the result
-  void send_quote(dispatch::CallId call, const scheduler::Quote& quote);
+  void attach_quote(dispatch::CallId call, const scheduler::WaitEstimate& quote);  // sent with the result
+  void send_quote(dispatch::CallId call, const scheduler::WaitEstimate& quote);
   void release_message_credit() { credits_.release(); }  // the core has handled one of its messages
   // Nothing more is read or written. `cause`: a static text, logged where responses were still unwritten.
   void abort(const char* cause);
@@ -119,7 +119,7 @@
   Time last_read_at_{};                               // arrival of the last bytes read
   std::optional<Time> unread_since_;                  // not read since then, though bytes may have come
   const char* close_cause_ = "closed by its client";  // as reported by on_closed()
-  std::map<dispatch::CallId, scheduler::Quote> attached_quotes_;  // core thread only
+  std::map<dispatch::CallId, scheduler::WaitEstimate> attached_quotes_;  // core thread only
   Sender<Item> sender_;
   Thread thread_;  // last: it uses the rest
 };
--- a/src/operator/operator_file.cpp
+++ b/src/operator/operator_file.cpp
@@ -58,7 +58,7 @@
   out.config.door = out.operators.door;
   out.config.queues = out.operators.queues;
   out.config.fleet = out.operators.fleet;
-  out.config.real.quote_method = out.config.queues.on && out.config.queues.quote_method;
+  out.config.real.quote_method = out.config.queues.enabled && out.config.queues.quote_method;
   return out;
 }
 
--- a/src/operator/read_queues.cpp
+++ b/src/operator/read_queues.cpp
@@ -19,7 +19,7 @@
     const auto it = std::find(names.begin(), names.end(), name);
     if (it == names.end()) throw ConfigError(here, "no owner of the platform file");
     const auto member = static_cast<std::size_t>(it - names.begin());
-    if (team_of[member] != scheduler::kNone) throw ConfigError(here, "an owner that is in two teams");
+    if (team_of[member] != scheduler::kNoTeam) throw ConfigError(here, "an owner that is in two teams");
     team_of[member] = team;
     owners.push_back(member);
   }
@@ -44,15 +44,16 @@
   if (!group.isNull() && !group.isString()) throw ConfigError(section.path("group"), "not a name");
   team.group = group.isString() ? group.asString() : "";
   const bool budget = !section.at("budget_s").isNull();
-  if (budget) team.budget = section.number("budget_s", 0, 0, 1e9);
+  if (budget) team.budget_s = section.number("budget_s", 0, 0, 1e9);
   team.share = section.number("share", share_of(owners, platform), 0, 1);
-  team.burst = section.number("burst", team.burst, 0, 10);
+  team.burst_periods = section.number("burst", team.burst_periods, 0, 10);
   team.floor = section.number("floor", team.floor, 0, 1);
   team.ceiling = section.number("ceiling", team.ceiling, 0.001, 1);
   if (team.floor > team.ceiling) throw ConfigError(section.path("floor"), "above the ceiling");
   Section levels(section.at("levels"), section.path("levels"), values);
   for (const std::string& cls : platform.real.classes)
-    team.level.push_back(static_cast<unsigned>(levels.count(cls, 1, 0, scheduler::kLevels - 1)));
+    team.level_by_class.push_back(
+        static_cast<unsigned>(levels.count(cls, 1, 0, scheduler::kServiceLevels - 1)));
   levels.done();
   section.done();
   return team;
@@ -74,7 +75,7 @@
   for (auto& group : teams) {  // what its teams have, where nothing else is told
     double shares = 0;
     for (const auto& team : teams) shares += team.group == group.name ? team.share : 0;
-    if (group.budget < 0 && group.share == 0) group.share = shares;
+    if (group.budget_s < 0 && group.share == 0) group.share = shares;
   }
 }
 
@@ -85,22 +86,23 @@
   constexpr std::size_t kMostTeams = 64;
   Section section(told, "queues", values);
   scheduler::Settings queues;
-  queues.on = section.flag("on", queues.on);
-  queues.span = section.time("span_ms", queues.span, 1000, 86'400'000);
-  queues.age = section.time("age_ms", queues.age, 10, 600'000);
-  queues.rescue = section.number("rescue", queues.rescue, 0, 0.5);
-  queues.waiting = section.count("waiting", queues.waiting, 1, 262'144);
-  queues.patience = section.number("patience", queues.patience, 0, 100);
-  queues.most_wait = section.time("most_wait_ms", queues.most_wait, 0, 600'000);
-  queues.most_hint = section.time("most_hint_ms", queues.most_hint, 50, 3'600'000);
+  queues.enabled = section.flag("on", queues.enabled);
+  queues.budget_period = section.time("span_ms", queues.budget_period, 1000, 86'400'000);
+  queues.ageing_step = section.time("age_ms", queues.ageing_step, 10, 600'000);
+  queues.overdue_share = section.number("rescue", queues.overdue_share, 0, 0.5);
+  queues.max_queued = section.count("waiting", queues.max_queued, 1, 262'144);
+  queues.slack_factor = section.number("patience", queues.slack_factor, 0, 100);
+  queues.max_wait = section.time("most_wait_ms", queues.max_wait, 0, 600'000);
+  queues.max_retry_after = section.time("most_hint_ms", queues.max_retry_after, 50, 3'600'000);
   queues.threads_per_core = section.number("threads_per_core", queues.threads_per_core, 0.5, 16);
-  queues.room = section.number("room", queues.room, 1, 64);
-  queues.sink = section.number("sink", queues.sink, 1.5, 100);
+  queues.throttle_headroom = section.number("room", queues.throttle_headroom, 1, 64);
+  queues.demotion_factor = section.number("sink", queues.demotion_factor, 1.5, 100);
   queues.quote_method = section.flag("quote_method", queues.quote_method);
-  queues.nice_per_s = section.number("nice_per_s", queues.nice_per_s, 0, 1000);
+  queues.max_priority_changes_per_s =
+      section.number("nice_per_s", queues.max_priority_changes_per_s, 0, 1000);
   const Json::Value& teams = section.at("teams");
   if (!teams.isNull() && !teams.isObject()) throw ConfigError("queues.teams", "not an object");
-  queues.team_of.assign(platform.real.tenants.size(), scheduler::kNone);
+  queues.team_of.assign(platform.real.tenants.size(), scheduler::kNoTeam);
   scheduler::Team rest;
   rest.name = "rest";
   queues.teams.push_back(rest);
@@ -125,14 +127,14 @@
   }
   std::vector<std::size_t> left;
   for (std::size_t i = 0; i < queues.team_of.size(); ++i) {
-    if (queues.team_of[i] != scheduler::kNone) continue;
+    if (queues.team_of[i] != scheduler::kNoTeam) continue;
     queues.team_of[i] = 0;
     left.push_back(i);
   }
-  if (queues.teams[0].budget < 0 && queues.teams[0].share == 0)
+  if (queues.teams[0].budget_s < 0 && queues.teams[0].share == 0)
     queues.teams[0].share = share_of(left, platform);
   check_groups(queues, queues.teams);
-  queues.most_hint = heeded(queues.most_hint, platform);
+  queues.max_retry_after = heeded(queues.max_retry_after, platform);
   section.done();
   return queues;
 }
--- a/src/scheduler/accounts.h
+++ b/src/scheduler/budget_accounts.h
@@ -20,9 +20,9 @@
 
 namespace yokestream::scheduler {
 
-enum class Standing { owed, within, borrowing, barred };
+enum class BudgetStatus { below_floor, within_budget, borrowing, at_ceiling };
 
-class Accounts {
+class BudgetAccounts {
  public:
   struct Balance {  // engine-seconds
     std::string name;
@@ -31,37 +31,37 @@
 
   // Keeps the balances of nodes whose names stay. The first call fills all accounts.
   void configure(Time now, const Settings& settings);
-  void capacity(Time now, double per_s);  // what the engines finish, engine-seconds a second
+  void set_throughput(Time now, double throughput);  // what the engines finish, engine-seconds a second
 
   std::size_t size() const { return nodes_.size(); }
   std::size_t parent(std::size_t node) const { return nodes_[node].parent; }
-  bool leaf(std::size_t node) const { return nodes_[node].leaf; }
+  bool is_leaf(std::size_t node) const { return nodes_[node].is_leaf; }
   void charge(Time now, std::size_t node, double cost);  // to it and its group; negative: paid back
-  Standing standing(Time now, std::size_t node);         // of this node alone
-  double rate(std::size_t node) const;                   // engine-seconds a second that the budget gives it
+  BudgetStatus status(Time now, std::size_t node);       // of this node alone
+  double budget_rate(std::size_t node) const;            // engine-seconds a second that the budget gives it
   // What is certain for it while all others ask too: the most of budget, floor and its part of the rescue.
-  double certain(std::size_t node) const;
-  double weight(std::size_t node) const { return std::max(certain(node), 1e-6); }
-  double budget(Time now, std::size_t node);  // balance
-  double ceiling(std::size_t node) const { return nodes_[node].ceiling * per_s_; }
+  double guaranteed_rate(std::size_t node) const;
+  double weight(std::size_t node) const { return std::max(guaranteed_rate(node), 1e-6); }
+  double budget_balance(Time now, std::size_t node);  // balance
+  double ceiling_rate(std::size_t node) const { return nodes_[node].ceiling * throughput_; }
   std::vector<Balance> balances(Time now);
   void restore(Time now, const std::vector<Balance>& balances);  // by name; unknown ones are left out
 
  private:
   struct Node {
     std::string name;
-    std::size_t parent = kNone;
-    bool leaf = true;
-    double told = -1, share = 0, burst = 1, floor = 0, ceiling = 1;
-    double budget_left = 0, floor_left = 0, ceiling_left = 0;
+    std::size_t parent = kNoTeam;
+    bool is_leaf = true;
+    double budget_s = -1, share = 0, burst_periods = 1, floor = 0, ceiling = 1;
+    double budget_balance = 0, floor_balance = 0, ceiling_balance = 0;
   };
-  double asked(const Node& node) const;  // budget a second, before all are cut
-  void fill(Time now);
-  void charge_one(Node& node, double cost);
+  double unscaled_rate(const Node& node) const;  // budget a second, before all are cut
+  void refill(Time now);
+  void charge_node(Node& node, double cost);
 
   std::vector<Node> nodes_;
-  double per_s_ = 1, cut_ = 1, span_s_ = 60, rescue_ = 0.1;
-  Time at_{};
+  double throughput_ = 1, budget_scale_ = 1, period_s_ = 60, overdue_share_ = 0.1;
+  Time refilled_at_{};
 };
 
 }  // namespace yokestream::scheduler
--- a/src/scheduler/waiting.h
+++ b/src/scheduler/request_queue.h
@@ -27,75 +27,76 @@
 
 namespace yokestream::scheduler {
 
-using Ref = std::uint32_t;
+using EntryRef = std::uint32_t;
 
 struct Entry {
   QueryId query{};
-  std::uint32_t team = 0, cls = 0, member = 0;
-  double told = 0, cost = 0, threads = 1;
-  Time arrived{}, due{}, until{};  // until: it has to go by then
-  double quoted = 0, raw = 0;      // its wait, seconds: median, and before correction
+  std::uint32_t team = 0, cls = 0, tenant = 0;
+  double estimated_work_s = 0, cost = 0, threads = 1;
+  Time arrived{}, due{}, expires{};                 // until: it has to go by then
+  double estimated_wait_s = 0, raw_forecast_s = 0;  // its wait, seconds: median, and before correction
 };
 
-Time due_time(Time arrived, unsigned level, Duration age, Time wanted, Duration needs);
-double priority(Time now, Time due, Duration age);  // of what waits: see above
+Time due_time(Time arrived, unsigned level, Duration ageing_step, Time soft_deadline, Duration service_time);
+double aged_priority(Time now, Time due, Duration ageing_step);  // of what waits: see above
 
 // Sums by due time, over a ring of slots.
-class WorkByDue {
+class WorkByDueTime {
  public:
   static constexpr std::size_t kSlots = 4096;
   // A slot's width, at least: all that waits is due within `reach` of all that may be asked for.
-  explicit WorkByDue(Duration reach) : slot_(std::max<Duration>(kLeastSlot, 2 * reach / (kSlots - 2))) {}
+  explicit WorkByDueTime(Duration horizon)
+      : slot_width_(std::max<Duration>(kMinSlotWidth, 2 * horizon / (kSlots - 2))) {}
   void add(Time due, double work);
   // Of what is due before. Exact to a slot's work.
   double before(Time due) const;
-  double all() const { return all_; }
-  Duration width() const { return slot_; }
+  double total() const { return total_; }
+  Duration slot_width() const { return slot_width_; }
 
  private:
-  static constexpr Duration kLeastSlot = std::chrono::milliseconds(10);
+  static constexpr Duration kMinSlotWidth = std::chrono::milliseconds(10);
   std::size_t slot(Time due) const {
-    return static_cast<std::size_t>(due.time_since_epoch() / slot_) % kSlots;
+    return static_cast<std::size_t>(due.time_since_epoch() / slot_width_) % kSlots;
   }
-  double prefix(std::size_t slots) const;
-  Duration slot_;
+  double prefix_sum(std::size_t slots) const;
+  Duration slot_width_;
   std::vector<double> tree_ = std::vector<double>(kSlots + 1, 0.0);
-  double all_ = 0;
+  double total_ = 0;
 };
 
-class Waiting {
+class RequestQueue {
  public:
   static constexpr std::size_t kEntryBytes = sizeof(Entry) + 2 * 64;
 
   // `reach`: the most time between two due times of what waits or is asked for.
-  Waiting(std::size_t teams, std::size_t entries, Duration reach);
-  void teams(std::size_t teams, Duration reach);  // while nothing waits
+  RequestQueue(std::size_t teams, std::size_t max_entries, Duration horizon);
+  void reset_teams(std::size_t teams, Duration horizon);  // while nothing waits
 
-  bool full() const { return free_.empty(); }
-  std::size_t size() const { return entries_.size() - free_.size(); }
-  std::size_t count(std::size_t team) const { return lines_[team].order.size(); }
-  double work(std::size_t team) const { return lines_[team].work.all(); }
+  bool full() const { return free_refs_.empty(); }
+  std::size_t size() const { return entries_.size() - free_refs_.size(); }
+  std::size_t count(std::size_t team) const { return team_queues_[team].by_due.size(); }
+  double work(std::size_t team) const { return team_queues_[team].work.total(); }
   // Work that goes before one of the team that is due then.
-  double before(std::size_t team, Time due) const;
-  Ref push(const Entry& entry);  // not while full()
-  Entry remove(Ref ref);
-  const Entry& at(Ref ref) const { return entries_[ref]; }
-  std::optional<Ref> head(std::size_t team) const;  // due first
-  std::optional<Ref> expiring() const;              // whose `until` is first
-  std::vector<Entry> all() const;                   // in no order
+  double work_before(std::size_t team, Time due) const;
+  EntryRef push(const Entry& entry);  // not while full()
+  Entry remove(EntryRef ref);
+  const Entry& at(EntryRef ref) const { return entries_[ref]; }
+  std::optional<EntryRef> head(std::size_t team) const;  // due first
+  std::optional<EntryRef> next_to_expire() const;        // whose `until` is first
+  std::vector<Entry> all() const;                        // in no order
 
  private:
-  using Order = std::pmr::set<std::pair<Time, Ref>>;
-  struct Line {
-    Line(std::pmr::memory_resource* from, Duration reach) : order(from), work(reach) {}
-    Order order;
-    WorkByDue work;
+  using Order = std::pmr::set<std::pair<Time, EntryRef>>;
+  struct TeamQueue {
+    TeamQueue(std::pmr::memory_resource* resource, Duration horizon) : by_due(resource), work(horizon) {}
+    Order by_due;
+    WorkByDueTime work;
   };
   std::pmr::unsynchronized_pool_resource pool_;
   std::vector<Entry> entries_;
-  std::vector<Ref> free_;
-  std::vector<Line> lines_;
-  Order until_{&pool_};
+  std::vector<EntryRef> free_refs_;
+  std::vector<TeamQueue> team_queues_;
+  Order by_expiry_{&pool_};
 };
 
 }  // namespace yokestream::scheduler
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -9,39 +9,43 @@
 namespace yokestream::scheduler {
 namespace {
 
-constexpr Duration kLook = std::chrono::milliseconds(100);    // while somebody waits, accounts fill
-constexpr Duration kWindow = std::chrono::milliseconds(500);  // over which the pace is measured
-constexpr double kPaceWeight = 0.02;                          // of a window
-constexpr double kNearer = 0.5;                               // times the usual time from arrival to due
-constexpr double kAheadWeight = 0.02;                         // of a request
-constexpr int kKnownWindows = 4;                              // what a pace counts for that was taken over
-constexpr double kOff = 1.6;      // a window's rate over the pace, or under it, that says that it changed
-constexpr int kOffWindows = 6;    // so many in a row
-constexpr double kInflow = 1.5;   // seconds that arrivals are smoothed over
-constexpr double kReserve = 0.1;  // of the bound, free of borrowed work
-constexpr Duration kLeastHint = std::chrono::milliseconds(50);
-constexpr double kHintSpread = 0.25;   // so that not all come back at one moment
-constexpr double kSunkTakes = 0.4;     // of its room, by a query that has sunk
-constexpr double kLeastPace = 0.02;    // of the cores
-constexpr double kMostForecast = 600;  // seconds
+constexpr Duration kPollInterval = std::chrono::milliseconds(100);      // while somebody waits, accounts fill
+constexpr Duration kThroughputWindow = std::chrono::milliseconds(500);  // over which the pace is measured
+constexpr double kThroughputWindowWeight = 0.02;                        // of a window
+constexpr double kUrgentFraction = 0.5;  // times the usual time from arrival to due
+constexpr double kArrivalWeight = 0.02;  // of a request
+constexpr int kRestoredWindows = 4;      // what a pace counts for that was taken over
+constexpr double kDeviationFactor =
+    1.6;  // a window's rate over the pace, or under it, that says that it changed
+constexpr int kMaxDeviatingWindows = 6;        // so many in a row
+constexpr double kArrivalTimeConstantS = 1.5;  // seconds that arrivals are smoothed over
+constexpr double kNonBorrowingReserve = 0.1;   // of the bound, free of borrowed work
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(50);
+constexpr double kRetryAfterJitter = 0.25;      // so that not all come back at one moment
+constexpr double kDemotedThreadShare = 0.4;     // of its room, by a query that has sunk
+constexpr double kMinThroughputPerCore = 0.02;  // of the cores
+constexpr double kMaxForecastS = 600;           // seconds
 
 // The wait that came is known a wait later: corrected at once and in full, forecasts swing. So small errors
 // are left alone, and of a larger one only what is over that is taken off, by a median of many requests.
-constexpr double kLeftAlone = 0.3;  // of the logarithm
-double correction(double came_over_forecast) {
-  const double error = std::log(came_over_forecast);
-  return std::exp(std::copysign(std::max(0.0, std::abs(error) - kLeftAlone), error));
+constexpr double kErrorDeadBand = 0.3;  // of the logarithm
+double bias_correction(double actual_over_forecast) {
+  const double error = std::log(actual_over_forecast);
+  return std::exp(std::copysign(std::max(0.0, std::abs(error) - kErrorDeadBand), error));
 }
 
-std::size_t size_of(double forecast) { return forecast < 0.25 ? 0 : forecast < 1 ? 1 : 2; }
+std::size_t forecast_bucket(double forecast) { return forecast < 0.25 ? 0 : forecast < 1 ? 1 : 2; }
 
 // What waits is due between the longest wait ago and three ages from now.
-Duration reach(const Settings& settings) { return settings.most_wait + kLevels * settings.age; }
+Duration due_horizon(const Settings& settings) {
+  return settings.max_wait + kServiceLevels * settings.ageing_step;
+}
 
 }  // namespace
 
-bool quote_right(double quoted, double came) {
-  return (quoted < kShort && came < kShort) || std::abs(quoted - came) <= kRight * came;
+bool is_accurate(double estimated_wait_s, double actual_wait_s) {
+  return (estimated_wait_s < kShortWaitS && actual_wait_s < kShortWaitS) ||
+         std::abs(estimated_wait_s - actual_wait_s) <= kAccuracyTolerance * actual_wait_s;
 }
 
 Scheduler::Scheduler(Time now, Settings settings, std::size_t classes)
@@ -49,413 +53,428 @@
       classes_(classes),
       capacity_(classes, settings_.threads_per_core),
       cost_(std::max<std::size_t>(1, settings_.team_of.size()), classes),
-      waiting_(settings_.teams.size(), settings_.waiting, reach(settings_)),
-      service_(settings_.teams.size(), classes) {
-  lay_out(now);
+      queue_(settings_.teams.size(), settings_.max_queued, due_horizon(settings_)),
+      service_times_(settings_.teams.size(), classes) {
+  rebuild_teams(now);
 }
 
-std::size_t Scheduler::bytes(const Settings& settings) {
-  return settings.waiting * (Waiting::kEntryBytes + sizeof(Ref)) +
-         settings.teams.size() * (WorkByDue::kSlots * sizeof(double) + sizeof(Team));
+std::size_t Scheduler::memory_bytes(const Settings& settings) {
+  return settings.max_queued * (RequestQueue::kEntryBytes + sizeof(EntryRef)) +
+         settings.teams.size() * (WorkByDueTime::kSlots * sizeof(double) + sizeof(TeamState));
 }
 
-void Scheduler::lay_out(Time now) {
+void Scheduler::rebuild_teams(Time now) {
   accounts_.configure(now, settings_);
-  order_.teams(now, settings_.teams.size());
-  bands_.configure(settings_.sink, settings_.nice_per_s);
+  selector_.reset_teams(now, settings_.teams.size());
+  priorities_.configure(settings_.demotion_factor, settings_.max_priority_changes_per_s);
   teams_.clear();
   for (std::size_t i = 0; i < settings_.teams.size(); ++i) {
-    Team team;
-    team.inflow.assign(classes_, 0.0);
-    team.surcharge.resize(classes_);
-    team.span.assign(classes_, 0.0);
+    TeamState team;
+    team.arrival_rate.assign(classes_, 0.0);
+    team.mean_cost_ratio.resize(classes_);
+    team.to_soft_deadline.assign(classes_, 0.0);
     for (std::size_t cls = 0; cls < classes_; ++cls)
-      team.ahead.push_back(seconds_of((kLevels - 1 - level(i, cls)) * settings_.age));
-    team.inflow_at.assign(classes_, now);
+      team.to_due.push_back(seconds_of((kServiceLevels - 1 - level(i, cls)) * settings_.ageing_step));
+    team.arrival_rate_at.assign(classes_, now);
     teams_.push_back(std::move(team));
   }
-  cores(now, cores_);
+  set_cores(now, cores_);
 }
 
 void Scheduler::configure(Time now, const Settings& settings) {
   Snapshot kept = snapshot(now);
-  std::unordered_map<QueryId, Waits> waits = std::move(waits_);
-  for (const Entry& entry : waiting_.all()) waiting_.remove(waits.at(entry.query).ref);
-  waits_.clear();
-  const std::size_t sizes = settings_.waiting;
+  std::unordered_map<QueryId, Queued> before_queued = std::move(queued_);
+  for (const Entry& entry : queue_.all()) queue_.remove(before_queued.at(entry.query).ref);
+  queued_.clear();
+  const std::size_t max_queued = settings_.max_queued;
   const auto& teams = settings_.teams;
   const bool same = std::equal(teams.begin(), teams.end(), settings.teams.begin(), settings.teams.end(),
                                [](const Team& a, const Team& b) { return a.name == b.name; });
   settings_ = settings;
-  settings_.waiting = sizes;  // made at the start
-  std::vector<Team> before = std::move(teams_);
-  lay_out(now);
-  waiting_.teams(settings_.teams.size(), reach(settings_));
+  settings_.max_queued = max_queued;  // made at the start
+  std::vector<TeamState> before = std::move(teams_);
+  rebuild_teams(now);
+  queue_.reset_teams(settings_.teams.size(), due_horizon(settings_));
   if (same)
     teams_ = std::move(before);
   else
-    service_ = ServiceTimes(settings_.teams.size(), classes_);
-  for (auto& [query, in] : in_) in.team = team_of(in.member);
+    service_times_ = ServiceTimes(settings_.teams.size(), classes_);
+  for (auto& [query, request] : admitted_) request.team = team_of(request.tenant);
   restore(now, kept);
-  for (auto& [query, w] : waits_) {
-    if (const auto it = waits.find(query); it != waits.end())
-      w.wanted = it->second.wanted, w.load = it->second.load;
+  for (auto& [query, queued] : queued_) {
+    if (const auto it = before_queued.find(query); it != before_queued.end())
+      queued.soft_deadline = it->second.soft_deadline, queued.is_load = it->second.is_load;
   }
 }
 
-void Scheduler::cores(Time now, double cores) {
+void Scheduler::set_cores(Time now, double cores) {
   if (cores > 0 && cores_ > 0 && cores != cores_)
-    pace_ *= cores / cores_, pace_windows_ = std::min(pace_windows_, kKnownWindows);
+    throughput_ *= cores / cores_, throughput_windows_ = std::min(throughput_windows_, kRestoredWindows);
   if (cores > 0) cores_ = cores;
   capacity_.cores(cores);
-  if (pace_windows_ == 0) pace_ = capacity_.drain_rate();
-  accounts_.capacity(now, pace_);
-  order_.capacity(now, settings_.rescue * pace_);
+  if (throughput_windows_ == 0) throughput_ = capacity_.drain_rate();
+  accounts_.set_throughput(now, throughput_);
+  selector_.set_overdue_rate(now, settings_.overdue_share * throughput_);
 }
 
-std::size_t Scheduler::team_of(std::size_t member) const {
-  const std::size_t team = member < settings_.team_of.size() ? settings_.team_of[member] : 0;
+std::size_t Scheduler::team_of(std::size_t tenant) const {
+  const std::size_t team = tenant < settings_.team_of.size() ? settings_.team_of[tenant] : 0;
   return team < settings_.teams.size() ? team : 0;
 }
 
 unsigned Scheduler::level(std::size_t team, std::size_t cls) const {
-  const auto& level = settings_.teams[team].level;
+  const auto& level = settings_.teams[team].level_by_class;
   return cls < level.size() ? level[cls] : 1;
 }
 
-double Scheduler::inflow(Time now, std::size_t team, std::size_t cls) const {
-  return teams_[team].inflow[cls] * std::exp(-seconds_of(now - teams_[team].inflow_at[cls]) / kInflow);
+double Scheduler::arrival_rate(Time now, std::size_t team, std::size_t cls) const {
+  return teams_[team].arrival_rate[cls] *
+         std::exp(-seconds_of(now - teams_[team].arrival_rate_at[cls]) / kArrivalTimeConstantS);
 }
 
-void Scheduler::note_inflow(Time now, std::size_t team, std::size_t cls, double cost) {
-  const double smoothed = inflow(now, team, cls) + cost / kInflow;
-  teams_[team].inflow[cls] = smoothed;
-  teams_[team].inflow_at[cls] = now;
+void Scheduler::add_arrival(Time now, std::size_t team, std::size_t cls, double cost) {
+  const double smoothed = arrival_rate(now, team, cls) + cost / kArrivalTimeConstantS;
+  teams_[team].arrival_rate[cls] = smoothed;
+  teams_[team].arrival_rate_at[cls] = now;
 }
 
-void Scheduler::fill_tanks(Time now) {
-  tanks_.clear();
+void Scheduler::fill_fluid_queues(Time now) {
+  fluid_queues_.clear();
   for (std::size_t i = 0; i < teams_.size(); ++i) {
-    Tank tank;
-    tank.work = waiting_.work(i);
-    for (std::size_t cls = 0; cls < classes_; ++cls) tank.inflow += inflow(now, i, cls);
-    tank.inflow = std::min(tank.inflow, pace_);  // more is not let in
-    tank.weight = accounts_.weight(i);
-    tank.budget = accounts_.budget(now, i);
-    tank.fills = accounts_.rate(i);
-    tank.floor = settings_.teams[i].floor * pace_;
-    if (settings_.teams[i].ceiling < 1) tank.ceiling = accounts_.ceiling(i);
-    tanks_.push_back(tank);
+    FluidQueue queue;
+    queue.work = queue_.work(i);
+    for (std::size_t cls = 0; cls < classes_; ++cls) queue.arrival_rate += arrival_rate(now, i, cls);
+    queue.arrival_rate = std::min(queue.arrival_rate, throughput_);  // more is not let in
+    queue.weight = accounts_.weight(i);
+    queue.budget_balance = accounts_.budget_balance(now, i);
+    queue.budget_rate = accounts_.budget_rate(i);
+    queue.floor_rate = settings_.teams[i].floor * throughput_;
+    if (settings_.teams[i].ceiling < 1) queue.ceiling_rate = accounts_.ceiling_rate(i);
+    fluid_queues_.push_back(queue);
   }
 }
 
 // Seconds until one of the team that is due then goes. Who arrives meanwhile and is due earlier goes before
 // it: that much is added to what is ahead, which depends on the wait; two rounds settle it.
-double Scheduler::forecast(Time now, std::size_t team, Time due) {
-  const double ahead = waiting_.before(team, due);
-  fill_tanks(now);
+double Scheduler::forecast_wait_s(Time now, std::size_t team, Time due) {
+  const double ahead = queue_.work_before(team, due);
+  fill_fluid_queues(now);
   double wait = 0;
   for (int round = 0; round < 2; ++round) {
     double more = 0;
     for (std::size_t cls = 0; cls < classes_; ++cls)
-      more += inflow(now, team, cls) * std::clamp(seconds_of(due - now) - teams_[team].ahead[cls], 0.0, wait);
-    walked_ = tanks_;
-    wait = drained_after(walked_, team, ahead + more, pace_, kMostForecast);
+      more += arrival_rate(now, team, cls) *
+              std::clamp(seconds_of(due - now) - teams_[team].to_due[cls], 0.0, wait);
+    fluid_scratch_ = fluid_queues_;
+    wait = drain_time(fluid_scratch_, team, ahead + more, throughput_, kMaxForecastS);
     if (round == 0 && wait == 0) break;
   }
   // Once overdue it has the team's turns of what is kept for the overdue.
-  const double rescue = settings_.rescue * pace_ / static_cast<double>(1 + overdue(now, team));
-  if (rescue <= 0) return wait;
-  return std::min(wait, seconds_of(due - now + settings_.age) + ahead / rescue);
+  const double overdue_rate =
+      settings_.overdue_share * throughput_ / static_cast<double>(1 + other_overdue_teams(now, team));
+  if (overdue_rate <= 0) return wait;
+  return std::min(wait, seconds_of(due - now + settings_.ageing_step) + ahead / overdue_rate);
 }
 
 // Teams other than this one whose first request is overdue.
-std::size_t Scheduler::overdue(Time now, std::size_t but) const {
+std::size_t Scheduler::other_overdue_teams(Time now, std::size_t team) const {
   std::size_t count = 0;
   for (std::size_t i = 0; i < teams_.size(); ++i) {
-    const auto head = waiting_.head(i);
-    count += i != but && head && now - waiting_.at(*head).due > settings_.age;
+    const auto head = queue_.head(i);
+    count += i != team && head && now - queue_.at(*head).due > settings_.ageing_step;
   }
   return count;
 }
 
-bool Scheduler::room(Time now, std::size_t team) {
-  if (threads_in_ == 0) return true;
-  const bool borrows = accounts_.standing(now, team) == Standing::borrowing;
-  return threads_in_ < capacity_.bound() * (borrows ? 1 - kReserve : 1);
+bool Scheduler::has_capacity(Time now, std::size_t team) {
+  if (threads_in_use_ == 0) return true;
+  const bool borrows = accounts_.status(now, team) == BudgetStatus::borrowing;
+  return threads_in_use_ < capacity_.bound() * (borrows ? 1 - kNonBorrowingReserve : 1);
 }
 
-Scheduler::Expected Scheduler::expect(Time now, const Arrival& arrival, bool room) {
-  Expected e;
-  e.team = team_of(arrival.member);
-  e.typical = cost_.charge(arrival.member, arrival.cls, arrival.estimated_work_s);
-  e.cost = e.typical * teams_[e.team].surcharge[arrival.cls].factor();
-  const double unloaded = e.typical / std::max(1.0, arrival.threads);
-  const double most = service_.stretch(e.team, arrival.cls, 0.9);
-  const double usual = service_.stretch(e.team, arrival.cls, 0.5);
+Scheduler::Estimate Scheduler::estimate(Time now, const Arrival& arrival, bool immediately) {
+  Estimate e;
+  e.team = team_of(arrival.tenant);
+  e.typical_cost = cost_.charge(arrival.tenant, arrival.cls, arrival.estimated_work_s);
+  e.cost = e.typical_cost * teams_[e.team].mean_cost_ratio[arrival.cls].value();
+  const double unloaded_s = e.typical_cost / std::max(1.0, arrival.threads);
+  const double slowdown_p90 = service_times_.slowdown(e.team, arrival.cls, 0.9);
+  const double slowdown = service_times_.slowdown(e.team, arrival.cls, 0.5);
   // What can wait has no wanted time, only its deadline.
   const bool can_wait = level(e.team, arrival.cls) == 0;
-  const Time wanted = can_wait ? Time::max() : arrival.wanted;
-  const Duration needs = from_seconds(unloaded * usual);
+  const Time soft_deadline = can_wait ? Time::max() : arrival.soft_deadline;
+  const Duration service_time = from_seconds(unloaded_s * slowdown);
   // Requests of a class keep their order, but for one that is much nearer to its wanted time than usual: else
   // whoever is due a little earlier is quoted a little less, is let in for that, and pushes back the others.
-  e.own = seconds_of(due_time(now, level(e.team, arrival.cls), settings_.age, wanted, needs) - now);
-  const double of_class = teams_[e.team].ahead[arrival.cls];
-  e.span = can_wait ? 0 : seconds_of(wanted - now);
-  const bool nearer = !can_wait && e.span < kNearer * teams_[e.team].span[arrival.cls];
-  e.due = now + from_seconds(nearer ? std::min(e.own, of_class) : of_class);
-  e.until = std::min(now + settings_.most_wait, arrival.deadline - needs);
-  const Duration in_time = std::max(Duration{}, wanted - needs - now);
-  e.allowed = std::max(Duration{}, e.until - now);
-  if (!can_wait) e.allowed = std::min(e.allowed, from_seconds(settings_.patience * seconds_of(in_time)));
-  if (!room) {
-    e.raw = forecast(now, e.team, e.due);
-    const Distribution& errors = teams_[e.team].errors[size_of(e.raw)];
-    const double median = e.raw * correction(errors.quantile(0.5, 1)),
-                 late = e.raw * errors.quantile(0.9, 1.25);
-    e.quote.wait = from_seconds(median);
-    e.quote.wait_most = from_seconds(std::max(median, late));
+  e.to_due = seconds_of(
+      due_time(now, level(e.team, arrival.cls), settings_.ageing_step, soft_deadline, service_time) - now);
+  const double class_to_due = teams_[e.team].to_due[arrival.cls];
+  e.to_soft_deadline = can_wait ? 0 : seconds_of(soft_deadline - now);
+  const bool urgent =
+      !can_wait && e.to_soft_deadline < kUrgentFraction * teams_[e.team].to_soft_deadline[arrival.cls];
+  e.due = now + from_seconds(urgent ? std::min(e.to_due, class_to_due) : class_to_due);
+  e.expires = std::min(now + settings_.max_wait, arrival.deadline - service_time);
+  const Duration slack = std::max(Duration{}, soft_deadline - service_time - now);
+  e.max_wait = std::max(Duration{}, e.expires - now);
+  if (!can_wait) e.max_wait = std::min(e.max_wait, from_seconds(settings_.slack_factor * seconds_of(slack)));
+  if (!immediately) {
+    e.raw_forecast_s = forecast_wait_s(now, e.team, e.due);
+    const Distribution& forecast_errors = teams_[e.team].forecast_errors[forecast_bucket(e.raw_forecast_s)];
+    const double median_s = e.raw_forecast_s * bias_correction(forecast_errors.quantile(0.5, 1)),
+                 p90_s = e.raw_forecast_s * forecast_errors.quantile(0.9, 1.25);
+    e.wait.wait = from_seconds(median_s);
+    e.wait.wait_p90 = from_seconds(std::max(median_s, p90_s));
   }
-  e.quote.answer = e.quote.wait + from_seconds(unloaded * usual);
-  e.quote.answer_most = e.quote.wait_most + from_seconds(unloaded * std::max(usual, most));
+  e.wait.response = e.wait.wait + from_seconds(unloaded_s * slowdown);
+  e.wait.response_p90 = e.wait.wait_p90 + from_seconds(unloaded_s * std::max(slowdown, slowdown_p90));
   return e;
 }
 
-Quote Scheduler::quote(Time now, const Arrival& arrival) {
-  const std::size_t team = team_of(arrival.member);
-  return expect(now, arrival, waiting_.count(team) == 0 && room(now, team)).quote;
+WaitEstimate Scheduler::estimate_wait(Time now, const Arrival& arrival) {
+  const std::size_t team = team_of(arrival.tenant);
+  return estimate(now, arrival, queue_.count(team) == 0 && has_capacity(now, team)).wait;
 }
 
-double Scheduler::typical(const In& in) const { return cost_.charge(in.member, in.cls, in.told); }
+double Scheduler::typical_cost(const Admitted& request) const {
+  return cost_.charge(request.tenant, request.cls, request.estimated_work_s);
+}
 
-void Scheduler::enter(Time now, QueryId query, const In& in, bool overdue) {
-  threads_in_ += in.threads;
-  if (waiting_.size() > 0) window_gone_ += in.cost;
-  In& stored = in_[query] = in;
-  stored.held = in.threads;
-  stored.typical = typical(in);
-  accounts_.charge(now, in.team, in.cost);
-  order_.went(now, {in.team, overdue}, in.cost, accounts_);
+void Scheduler::admit(Time now, QueryId query, const Admitted& request, bool overdue) {
+  threads_in_use_ += request.threads;
+  if (queue_.size() > 0) window_cost_ += request.cost;
+  Admitted& stored = admitted_[query] = request;
+  stored.threads_held = request.threads;
+  stored.typical_cost = typical_cost(request);
+  accounts_.charge(now, request.team, request.cost);
+  selector_.on_dispatched(now, {request.team, overdue}, request.cost, accounts_);
 }
 
-Verdict Scheduler::turn_away(const Expected& expected, Duration allowed, QueryId query) const {
-  const double over = seconds_of(expected.quote.wait) - 0.5 * seconds_of(allowed);
-  const double spread =
+Verdict Scheduler::reject(const Estimate& estimate, Duration max_wait, QueryId query) const {
+  const double excess_s = seconds_of(estimate.wait.wait) - 0.5 * seconds_of(max_wait);
+  const double jitter =
       static_cast<double>((static_cast<std::uint64_t>(query) * 0x9e3779b97f4a7c15ull) >> 11) * 0x1.0p-53;
-  const Duration hint = from_seconds(std::max(0.0, over) * (1 + kHintSpread * spread));
-  return {Ruling::turn_away, std::clamp(hint, kLeastHint, std::max(kLeastHint, settings_.most_hint)), 0,
-          expected.quote};
-}
-
-Verdict Scheduler::arrive(Time now, const Arrival& arrival) {
-  ++figures_.arrived;
-  const std::size_t team = team_of(arrival.member);
-  const bool at_once =
-      waiting_.count(team) == 0 && accounts_.standing(now, team) != Standing::barred && room(now, team);
-  const Expected e = expect(now, arrival, at_once);
-  double& ahead = teams_[team].ahead[arrival.cls];
-  ahead += kAheadWeight * (e.own - ahead);
-  double& span = teams_[team].span[arrival.cls];
-  span += (span == 0 ? 1 : kAheadWeight) * (e.span - span);
-  if (at_once) {
-    note_inflow(now, team, arrival.cls, e.cost);
-    In in{team,           arrival.member, arrival.cls, arrival.estimated_work_s, e.cost, arrival.threads, now,
-          arrival.wanted, false,          arrival.load};
-    in.borrowed = accounts_.standing(now, team) == Standing::borrowing;
-    enter(now, arrival.query, in);
-    ++figures_.passed_at_once, ++figures_.quotes, ++figures_.quotes_right;
-    return {Ruling::pass, {}, e.typical, e.quote};
+  const Duration retry_after = from_seconds(std::max(0.0, excess_s) * (1 + kRetryAfterJitter * jitter));
+  return {Decision::reject,
+          std::clamp(retry_after, kMinRetryAfter, std::max(kMinRetryAfter, settings_.max_retry_after)), 0,
+          estimate.wait};
+}
+
+Verdict Scheduler::offer(Time now, const Arrival& arrival) {
+  ++metrics_.arrived;
+  const std::size_t team = team_of(arrival.tenant);
+  const bool immediately = queue_.count(team) == 0 &&
+                           accounts_.status(now, team) != BudgetStatus::at_ceiling && has_capacity(now, team);
+  const Estimate e = estimate(now, arrival, immediately);
+  double& to_due = teams_[team].to_due[arrival.cls];
+  to_due += kArrivalWeight * (e.to_due - to_due);
+  double& to_soft_deadline = teams_[team].to_soft_deadline[arrival.cls];
+  to_soft_deadline += (to_soft_deadline == 0 ? 1 : kArrivalWeight) * (e.to_soft_deadline - to_soft_deadline);
+  if (immediately) {
+    add_arrival(now, team, arrival.cls, e.cost);
+    Admitted request{team,   arrival.tenant,  arrival.cls, arrival.estimated_work_s,
+                     e.cost, arrival.threads, now,         arrival.soft_deadline,
+                     false,  arrival.is_load};
+    request.borrowed = accounts_.status(now, team) == BudgetStatus::borrowing;
+    admit(now, arrival.query, request);
+    ++metrics_.admitted_immediately, ++metrics_.estimates, ++metrics_.accurate_estimates;
+    return {Decision::admit, {}, e.typical_cost, e.wait};
   }
-  if (e.until <= now || e.quote.wait > e.allowed || waiting_.full()) {
-    ++figures_.turned_away;
-    return turn_away(e, e.allowed, arrival.query);
+  if (e.expires <= now || e.wait.wait > e.max_wait || queue_.full()) {
+    ++metrics_.rejected;
+    return reject(e, e.max_wait, arrival.query);
   }
-  note_inflow(now, team, arrival.cls, e.cost);
-  if (waiting_.size() == 0) window_ = now, window_gone_ = 0;
+  add_arrival(now, team, arrival.cls, e.cost);
+  if (queue_.size() == 0) window_start_ = now, window_cost_ = 0;
   Entry entry{arrival.query,
               static_cast<std::uint32_t>(team),
               static_cast<std::uint32_t>(arrival.cls),
-              static_cast<std::uint32_t>(arrival.member),
+              static_cast<std::uint32_t>(arrival.tenant),
               arrival.estimated_work_s,
               e.cost,
               arrival.threads,
               now,
               e.due,
-              e.until,
-              seconds_of(e.quote.wait),
-              e.raw};
-  waits_[arrival.query] = {waiting_.push(entry), arrival.wanted, arrival.load};
-  ++figures_.waited;
-  return {Ruling::wait, {}, e.typical, e.quote};
+              e.expires,
+              seconds_of(e.wait.wait),
+              e.raw_forecast_s};
+  queued_[arrival.query] = {queue_.push(entry), arrival.soft_deadline, arrival.is_load};
+  ++metrics_.queued;
+  return {Decision::queue, {}, e.typical_cost, e.wait};
 }
 
 // What goes while somebody waits all the time says what engines take; else only what was asked for. A mean
 // over many windows, as quotes are only as good as it is steady; but of few where it is new, where engines
 // came or went, and where several windows in a row were off to one side.
-void Scheduler::learn_pace(Time now) {
-  if (now - window_ < kWindow) return;
-  const double rate = window_gone_ / seconds_of(now - window_);
-  const double off = rate / pace_;
-  const int side = off > kOff ? 1 : off < 1 / kOff ? -1 : 0;
-  off_windows_ = side != 0 && side * off_windows_ >= 0 ? off_windows_ + side : side;
-  if (std::abs(off_windows_) >= kOffWindows) pace_windows_ = 2, off_windows_ = 0;
-  const double weight = std::max(kPaceWeight, 1.0 / (1 + ++pace_windows_));
-  pace_ = std::max(kLeastPace * std::max(1.0, cores_), pace_ + weight * (rate - pace_));
-  accounts_.capacity(now, pace_);
-  order_.capacity(now, settings_.rescue * pace_);
-  window_ = now, window_gone_ = 0;
-}
-
-void Scheduler::went(Time now, const Entry& entry) {
-  const double came = seconds_of(now - entry.arrived);
-  const bool right = quote_right(entry.quoted, came);
-  ++figures_.quotes, figures_.quotes_right += right;
-  if (entry.quoted >= kShort || came >= kShort) ++figures_.long_quotes, figures_.long_quotes_right += right;
-  figures_.longest_wait = std::max(figures_.longest_wait, came);
-  if (entry.raw >= kShort / 2)
-    teams_[entry.team].errors[size_of(entry.raw)].add(std::clamp(came / entry.raw, 0.1, 9.9));
-}
-
-std::optional<Moved> Scheduler::next(Time now) {
-  bands_.waiting(now, waiting_.size() > 0);
-  capacity_.tick(now, waiting_.size() > 0);
-  if (waiting_.size() == 0) return std::nullopt;
-  learn_pace(now);
-  if (const auto ref = waiting_.expiring(); ref && waiting_.at(*ref).until <= now) {
-    const Entry entry = waiting_.remove(*ref);
-    waits_.erase(entry.query);
-    ++figures_.expired, ++figures_.turned_away;
-    Expected e;
-    e.quote.wait = from_seconds(forecast(now, entry.team, entry.due));
-    return Moved{entry.query, turn_away(e, {}, entry.query)};
+void Scheduler::update_throughput(Time now) {
+  if (now - window_start_ < kThroughputWindow) return;
+  const double rate = window_cost_ / seconds_of(now - window_start_);
+  const double ratio = rate / throughput_;
+  const int side = ratio > kDeviationFactor ? 1 : ratio < 1 / kDeviationFactor ? -1 : 0;
+  deviating_windows_ = side != 0 && side * deviating_windows_ >= 0 ? deviating_windows_ + side : side;
+  if (std::abs(deviating_windows_) >= kMaxDeviatingWindows) throughput_windows_ = 2, deviating_windows_ = 0;
+  const double weight = std::max(kThroughputWindowWeight, 1.0 / (1 + ++throughput_windows_));
+  throughput_ =
+      std::max(kMinThroughputPerCore * std::max(1.0, cores_), throughput_ + weight * (rate - throughput_));
+  accounts_.set_throughput(now, throughput_);
+  selector_.set_overdue_rate(now, settings_.overdue_share * throughput_);
+  window_start_ = now, window_cost_ = 0;
+}
+
+void Scheduler::record_wait(Time now, const Entry& entry) {
+  const double actual_wait_s = seconds_of(now - entry.arrived);
+  const bool accurate = is_accurate(entry.estimated_wait_s, actual_wait_s);
+  ++metrics_.estimates, metrics_.accurate_estimates += accurate;
+  if (entry.estimated_wait_s >= kShortWaitS || actual_wait_s >= kShortWaitS)
+    ++metrics_.long_estimates, metrics_.accurate_long_estimates += accurate;
+  metrics_.longest_wait_s = std::max(metrics_.longest_wait_s, actual_wait_s);
+  if (entry.raw_forecast_s >= kShortWaitS / 2)
+    teams_[entry.team].forecast_errors[forecast_bucket(entry.raw_forecast_s)].add(
+        std::clamp(actual_wait_s / entry.raw_forecast_s, 0.1, 9.9));
+}
+
+std::optional<QueueVerdict> Scheduler::next(Time now) {
+  priorities_.update_contention(now, queue_.size() > 0);
+  capacity_.tick(now, queue_.size() > 0);
+  if (queue_.size() == 0) return std::nullopt;
+  update_throughput(now);
+  if (const auto ref = queue_.next_to_expire(); ref && queue_.at(*ref).expires <= now) {
+    const Entry entry = queue_.remove(*ref);
+    queued_.erase(entry.query);
+    ++metrics_.expired, ++metrics_.rejected;
+    Estimate e;
+    e.wait.wait = from_seconds(forecast_wait_s(now, entry.team, entry.due));
+    return QueueVerdict{entry.query, reject(e, {}, entry.query)};
   }
-  const FairOrder::Next chosen =
-      order_.next(now, waiting_, accounts_, settings_.age, [&](std::size_t t) { return room(now, t); });
+  const TeamSelector::Selection chosen = selector_.select(
+      now, queue_, accounts_, settings_.ageing_step, [&](std::size_t t) { return has_capacity(now, t); });
   const std::size_t team = chosen.team;
-  if (team == kNone) return std::nullopt;
-  const Ref ref = *waiting_.head(team);
-  const Entry entry = waiting_.remove(ref);
-  const Waits waits = waits_.at(entry.query);
-  waits_.erase(entry.query);
-  figures_.rescued += chosen.overdue;
-  In in{team,          entry.member, entry.cls,    entry.told, entry.cost,
-        entry.threads, now,          waits.wanted, false,      waits.load};
-  in.borrowed = accounts_.standing(now, team) == Standing::borrowing;
-  went(now, entry);
-  if (waiting_.size() == 0) window_gone_ += in.cost;
-  enter(now, entry.query, in, chosen.overdue);
-  learn_pace(now);
-  return Moved{entry.query, {Ruling::pass, {}, typical(in), {}}};
+  if (team == kNoTeam) return std::nullopt;
+  const EntryRef ref = *queue_.head(team);
+  const Entry entry = queue_.remove(ref);
+  const Queued queued = queued_.at(entry.query);
+  queued_.erase(entry.query);
+  metrics_.dispatched_overdue += chosen.overdue;
+  Admitted request{team, entry.tenant,         entry.cls, entry.estimated_work_s, entry.cost, entry.threads,
+                   now,  queued.soft_deadline, false,     queued.is_load};
+  request.borrowed = accounts_.status(now, team) == BudgetStatus::borrowing;
+  record_wait(now, entry);
+  if (queue_.size() == 0) window_cost_ += request.cost;
+  admit(now, entry.query, request, chosen.overdue);
+  update_throughput(now);
+  return QueueVerdict{entry.query, {Decision::admit, {}, typical_cost(request), {}}};
 }
 
 Time Scheduler::next_due(Time now) const {
-  Time due = bands_.next_due();
-  if (waiting_.size() == 0) return due;
-  return std::min({due, waiting_.at(*waiting_.expiring()).until, now + kLook});
+  Time due = priorities_.next_due();
+  if (queue_.size() == 0) return due;
+  return std::min({due, queue_.at(*queue_.next_to_expire()).expires, now + kPollInterval});
 }
 
-void Scheduler::over(Time now, QueryId query, const throttle::Outcome& outcome) {
-  const auto settled = throttle::settle(waits_, waiting_, in_, query);
+void Scheduler::on_request_finished(Time now, QueryId query, const throttle::Outcome& outcome) {
+  const auto settled = throttle::settle(queued_, queue_, admitted_, query);
   if (!settled) return;
-  const In& in = *settled;
-  bands_.end(query);
-  threads_in_ = in_.empty() ? 0 : threads_in_ - in.held;
-  cost_.learn(in.member, in.cls, in.told, outcome.real);
+  const Admitted& request = *settled;
+  priorities_.on_attempt_ended(query);
+  threads_in_use_ = admitted_.empty() ? 0 : threads_in_use_ - request.threads_held;
+  cost_.learn(request.tenant, request.cls, request.estimated_work_s, outcome.real);
   // Charged was what its kind costs on the mean, bad plans counted in, so that one bad plan does not hold up
   // its team; what it really cost goes into that mean. Only what never ran gets it back.
   if (outcome.real > 0) {
-    teams_[in.team].surcharge[in.cls].learn(in.typical, outcome.real);
+    teams_[request.team].mean_cost_ratio[request.cls].add(request.typical_cost, outcome.real);
   } else if (!outcome.ran) {
-    accounts_.charge(now, in.team, -in.cost);
-    order_.correct(in.team, -in.cost, accounts_);
+    accounts_.charge(now, request.team, -request.cost);
+    selector_.adjust(request.team, -request.cost, accounts_);
   }
-  if (outcome.served() && in.typical > 0)
-    service_.learn(in.team, in.cls, seconds_of(outcome.took) * in.threads / in.typical);
-  if (outcome.refused) window_gone_ -= in.cost;  // it took nothing of what engines do
-  capacity_.over(now, in.cls, in.threads, in.cost, outcome, waiting_.size() > 0);
-}
-
-unsigned Scheduler::started(Time now, QueryId query, const std::string& engine, unsigned wish) {
-  const auto it = in_.find(query);
-  if (it == in_.end()) return wish;
-  const In& in = it->second;
-  Bands::Start start;
-  start.engine = engine;
-  start.wish = wish;
-  start.level = level(in.team, in.cls);
-  start.borrowed = in.borrowed;
-  start.load = in.load;
-  const double unloaded = in.typical / std::max(1.0, in.threads);
-  start.usual = from_seconds(unloaded * service_.stretch(in.team, in.cls, 0.5));
-  start.usual_most = from_seconds(unloaded * service_.stretch(in.team, in.cls, 0.9));
-  start.wanted = in.wanted;
-  return bands_.start(now, query, start);
+  if (outcome.served() && request.typical_cost > 0)
+    service_times_.add(request.team, request.cls,
+                       seconds_of(outcome.took) * request.threads / request.typical_cost);
+  if (outcome.refused) window_cost_ -= request.cost;  // it took nothing of what engines do
+  capacity_.over(now, request.cls, request.threads, request.cost, outcome, queue_.size() > 0);
+}
+
+unsigned Scheduler::on_attempt_started(Time now, QueryId query, const std::string& engine,
+                                       unsigned priority) {
+  const auto it = admitted_.find(query);
+  if (it == admitted_.end()) return priority;
+  const Admitted& request = it->second;
+  EnginePriorities::Attempt attempt;
+  attempt.engine = engine;
+  attempt.requested = priority;
+  attempt.level = level(request.team, request.cls);
+  attempt.borrowed = request.borrowed;
+  attempt.is_load = request.is_load;
+  const double unloaded_s = request.typical_cost / std::max(1.0, request.threads);
+  attempt.expected_time = from_seconds(unloaded_s * service_times_.slowdown(request.team, request.cls, 0.5));
+  attempt.expected_time_p90 =
+      from_seconds(unloaded_s * service_times_.slowdown(request.team, request.cls, 0.9));
+  attempt.soft_deadline = request.soft_deadline;
+  return priorities_.on_attempt_started(now, query, attempt);
 }
 
 // One that sinks keeps little of its engine, and gives back the room that it no longer takes.
-std::optional<Bands::Change> Scheduler::next_band(Time now) {
-  const auto change = bands_.next(now);
-  if (!change || !change->sinks) return change;
-  In& in = in_.at(change->query);
-  threads_in_ -= in.held * (1 - kSunkTakes);
-  in.held *= kSunkTakes;
+std::optional<EnginePriorities::Change> Scheduler::next_priority_change(Time now) {
+  const auto change = priorities_.next_change(now);
+  if (!change || !change->demotes) return change;
+  Admitted& request = admitted_.at(change->query);
+  threads_in_use_ -= request.threads_held * (1 - kDemotedThreadShare);
+  request.threads_held *= kDemotedThreadShare;
   return change;
 }
 
-Figures Scheduler::figures() const {
-  Figures f = figures_;
-  f.waiting = waiting_.size();
-  f.in = in_.size();
-  f.sunk = bands_.sunk();
-  f.nice = bands_.told();
-  f.pace = pace_;
-  f.bound = capacity_.bound();
-  f.threads_in = threads_in_;
-  return f;
+Metrics Scheduler::metrics() const {
+  Metrics out = metrics_;
+  out.waiting = queue_.size();
+  out.admitted = admitted_.size();
+  out.demoted = priorities_.demoted();
+  out.priority_changes = priorities_.changes_sent();
+  out.throughput = throughput_;
+  out.concurrency_limit = capacity_.bound();
+  out.threads_in_use = threads_in_use_;
+  return out;
 }
 
 Snapshot Scheduler::snapshot(Time now) {
   Snapshot out;
   out.balances = accounts_.balances(now);
-  out.pace = pace_windows_ > 0 ? pace_ : 0;
-  for (const Entry& e : waiting_.all())
-    out.waiting.push_back({e.query, settings_.teams[e.team].name, e.member, e.cls, e.told, e.cost, e.threads,
-                           e.quoted, now - e.arrived, e.due - now, e.until - now});
+  out.throughput = throughput_windows_ > 0 ? throughput_ : 0;
+  for (const Entry& e : queue_.all())
+    out.queued.push_back({e.query, settings_.teams[e.team].name, e.tenant, e.cls, e.estimated_work_s, e.cost,
+                          e.threads, e.estimated_wait_s, now - e.arrived, e.due - now, e.expires - now});
   return out;
 }
 
 std::vector<QueryId> Scheduler::restore(Time now, const Snapshot& snapshot) {
   accounts_.restore(now, snapshot.balances);
-  if (snapshot.pace > 0) pace_ = snapshot.pace, pace_windows_ = kKnownWindows;
-  accounts_.capacity(now, pace_);
-  order_.capacity(now, settings_.rescue * pace_);
-  window_ = now, window_gone_ = 0;
-  std::vector<QueryId> left;
-  for (const auto& w : snapshot.waiting) {
-    if (waiting_.full()) {
-      left.push_back(w.query);
+  if (snapshot.throughput > 0) throughput_ = snapshot.throughput, throughput_windows_ = kRestoredWindows;
+  accounts_.set_throughput(now, throughput_);
+  selector_.set_overdue_rate(now, settings_.overdue_share * throughput_);
+  window_start_ = now, window_cost_ = 0;
+  std::vector<QueryId> rejected;
+  for (const auto& w : snapshot.queued) {
+    if (queue_.full()) {
+      rejected.push_back(w.query);
       continue;
     }
     Entry entry{w.query,
                 0,
                 static_cast<std::uint32_t>(w.cls),
-                static_cast<std::uint32_t>(w.member),
-                w.told,
+                static_cast<std::uint32_t>(w.tenant),
+                w.estimated_work_s,
                 w.cost,
                 w.threads,
                 now - w.waited,
                 now + w.due_in,
-                now + w.until_in,
-                w.quoted,
-                w.quoted};
-    std::size_t team = team_of(w.member);
+                now + w.expires_in,
+                w.estimated_wait_s,
+                w.estimated_wait_s};
+    std::size_t team = team_of(w.tenant);
     for (std::size_t i = 0; i < settings_.teams.size(); ++i) {
-      if (settings_.teams[i].name == w.team && accounts_.leaf(i)) team = i;
+      if (settings_.teams[i].name == w.team && accounts_.is_leaf(i)) team = i;
     }
     entry.team = static_cast<std::uint32_t>(team);
-    waits_[w.query] = {waiting_.push(entry), entry.due, false};
+    queued_[w.query] = {queue_.push(entry), entry.due, false};
   }
-  return left;
+  return rejected;
 }
 
 }  // namespace yokestream::scheduler
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -23,13 +23,13 @@
 #include <unordered_map>
 #include <vector>
 
-#include "scheduler/accounts.h"
-#include "scheduler/bands.h"
-#include "scheduler/fair_order.h"
-#include "scheduler/forecast.h"
-#include "scheduler/quote.h"
+#include "scheduler/budget_accounts.h"
+#include "scheduler/engine_priorities.h"
+#include "scheduler/request_queue.h"
 #include "scheduler/service_times.h"
-#include "scheduler/waiting.h"
+#include "scheduler/team_selector.h"
+#include "scheduler/wait_estimate.h"
+#include "scheduler/wait_forecast.h"
 #include "throttle/capacity.h"
 #include "throttle/cost.h"
 #include "throttle/outcome.h"
@@ -38,51 +38,52 @@
 
 struct Arrival {
   QueryId query{};
-  std::size_t member = 0, cls = 0;
+  std::size_t tenant = 0, cls = 0;
   double estimated_work_s = 0;  // the estimate, in seconds of one core; 0: none
   double threads = 1;           // that it runs on
-  Time deadline{}, wanted{};
-  bool load = false;
+  Time deadline{}, soft_deadline{};
+  bool is_load = false;
 };
 
-enum class Ruling { pass, wait, turn_away };
+enum class Decision { admit, queue, reject };
 struct Verdict {
-  Ruling ruling = Ruling::pass;
-  Duration hint{};  // turned away: when to come back
-  double cost = 0;  // else: what it is taken to cost, in seconds of one core
-  Quote quote;
+  Decision decision = Decision::admit;
+  Duration retry_after{};  // turned away: when to come back
+  double cost = 0;         // else: what it is taken to cost, in seconds of one core
+  WaitEstimate wait_estimate;
 };
-struct Moved {  // one that waited
+struct QueueVerdict {  // one that waited
   QueryId query{};
   Verdict verdict;
 };
 
 // What operators see; counts since the start. See docs/operators/queues.md.
-struct Figures {
-  std::uint64_t arrived = 0, passed_at_once = 0, waited = 0, turned_away = 0, expired = 0, rescued = 0;
-  std::uint64_t quotes = 0, quotes_right = 0;            // of those that went
-  std::uint64_t long_quotes = 0, long_quotes_right = 0;  // quoted or waited kShort or longer
-  std::size_t waiting = 0, in = 0, sunk = 0;
-  std::uint64_t nice = 0;
-  double pace = 0, bound = 0, threads_in = 0, longest_wait = 0;
+struct Metrics {
+  std::uint64_t arrived = 0, admitted_immediately = 0, queued = 0, rejected = 0, expired = 0,
+                dispatched_overdue = 0;
+  std::uint64_t estimates = 0, accurate_estimates = 0;            // of those that went
+  std::uint64_t long_estimates = 0, accurate_long_estimates = 0;  // quoted or waited kShort or longer
+  std::size_t waiting = 0, admitted = 0, demoted = 0;
+  std::uint64_t priority_changes = 0;
+  double throughput = 0, concurrency_limit = 0, threads_in_use = 0, longest_wait_s = 0;
 };
 
 // A quote is right within this part of what came; waits under kShort on both sides are.
-constexpr double kRight = 0.25, kShort = 0.1;
-bool quote_right(double quoted, double came);
+constexpr double kAccuracyTolerance = 0.25, kShortWaitS = 0.1;
+bool is_accurate(double estimated_wait_s, double actual_wait_s);
 
 // The state as a value: balances, what waits, what is expected. Times are counted from the snapshot's moment.
 struct Snapshot {
-  struct Waits {
+  struct Request {
     QueryId query{};
     std::string team;
-    std::size_t member = 0, cls = 0;
-    double told = 0, cost = 0, threads = 1, quoted = 0;
-    Duration waited{}, due_in{}, until_in{};
+    std::size_t tenant = 0, cls = 0;
+    double estimated_work_s = 0, cost = 0, threads = 1, estimated_wait_s = 0;
+    Duration waited{}, due_in{}, expires_in{};
   };
-  std::vector<Accounts::Balance> balances;
-  std::vector<Waits> waiting;
-  double pace = 0;
+  std::vector<BudgetAccounts::Balance> balances;
+  std::vector<Request> queued;
+  double throughput = 0;
 };
 
 class Scheduler {
@@ -91,109 +92,112 @@
 
   // Teams may come, go and change; of one that goes, what waits goes on in its member's new team.
   void configure(Time now, const Settings& settings);
-  void cores(Time now, double cores);
+  void set_cores(Time now, double cores);
 
-  Verdict arrive(Time now, const Arrival& arrival);
-  Quote quote(Time now, const Arrival& arrival);  // what arrive() would quote; changes nothing
+  Verdict offer(Time now, const Arrival& arrival);
+  WaitEstimate estimate_wait(Time now, const Arrival& arrival);  // what arrive() would quote; changes nothing
   // Over, in whatever way: given up while it waited, or finished after it passed.
-  void over(Time now, QueryId query, const throttle::Outcome& outcome);
-  std::optional<Moved> next(Time now);  // the next that is to go on or to be turned away; nullopt: nobody
+  void on_request_finished(Time now, QueryId query, const throttle::Outcome& outcome);
+  std::optional<QueueVerdict> next(
+      Time now);  // the next that is to go on or to be turned away; nullopt: nobody
   Time next_due(Time now) const;
 
   // The attempts of what has passed: the priority to start with, and changes of it.
-  unsigned started(Time now, QueryId query, const std::string& engine, unsigned wish);
-  std::optional<unsigned> wish(Time now, QueryId query, unsigned wish) {
-    return bands_.wish(now, query, wish);
+  unsigned on_attempt_started(Time now, QueryId query, const std::string& engine, unsigned priority);
+  std::optional<unsigned> on_priority_requested(Time now, QueryId query, unsigned priority) {
+    return priorities_.on_priority_requested(now, query, priority);
   }
-  void ended(QueryId query) { bands_.end(query); }
-  std::optional<Bands::Change> next_band(Time now);
+  void on_attempt_ended(QueryId query) { priorities_.on_attempt_ended(query); }
+  std::optional<EnginePriorities::Change> next_priority_change(Time now);
 
-  Figures figures() const;
-  std::size_t team_of(std::size_t member) const;
+  Metrics metrics() const;
+  std::size_t team_of(std::size_t tenant) const;
   std::size_t teams() const { return settings_.teams.size(); }
-  std::size_t waiting(std::size_t team) const { return waiting_.count(team); }
-  Standing standing(Time now, std::size_t team) { return accounts_.standing(now, team); }
-  double budget(Time now, std::size_t team) { return accounts_.budget(now, team); }
+  std::size_t queued(std::size_t team) const { return queue_.count(team); }
+  BudgetStatus budget_status(Time now, std::size_t team) { return accounts_.status(now, team); }
+  double budget_balance(Time now, std::size_t team) { return accounts_.budget_balance(now, team); }
   Snapshot snapshot(Time now);
   // Those that found no room are returned: they are owed a refusal.
   std::vector<QueryId> restore(Time now, const Snapshot& snapshot);
-  static std::size_t bytes(const Settings& settings);
+  static std::size_t memory_bytes(const Settings& settings);
 
  private:
-  struct In {  // passed, not over
-    std::size_t team = 0, member = 0, cls = 0;
-    double told = 0, cost = 0, threads = 1;
-    Time since{}, wanted{};
-    bool borrowed = false, load = false;
-    double held = 1;     // threads that it counts for
-    double typical = 0;  // cost without surcharge
+  struct Admitted {  // passed, not over
+    std::size_t team = 0, tenant = 0, cls = 0;
+    double estimated_work_s = 0, cost = 0, threads = 1;
+    Time admitted_at{}, soft_deadline{};
+    bool borrowed = false, is_load = false;
+    double threads_held = 1;  // threads that it counts for
+    double typical_cost = 0;  // cost without surcharge
   };
-  struct Waits {
-    Ref ref = 0;
-    Time wanted{};
-    bool load = false;
+  struct Queued {
+    EntryRef ref = 0;
+    Time soft_deadline{};
+    bool is_load = false;
   };
   // What a kind costs on the mean over what is usual (a median): the part of bad plans and of wide spread.
-  struct Surcharge {
-    double usual = 1, real = 1;  // sums that fade
-    void learn(double of_usual, double of_real) {
-      usual = 0.99 * usual + of_usual, real = 0.99 * real + of_real;
+  struct MeanCostRatio {
+    double typical_sum = 1, actual_sum = 1;  // sums that fade
+    void add(double typical, double actual) {
+      typical_sum = 0.99 * typical_sum + typical, actual_sum = 0.99 * actual_sum + actual;
     }
-    double factor() const { return std::clamp(real / usual, 0.2, 20.0); }
+    double value() const { return std::clamp(actual_sum / typical_sum, 0.2, 20.0); }
   };
-  struct Team {
-    std::vector<Surcharge> surcharge;  // by class
-    std::vector<double> span;          // by class, seconds from arrival to the wanted time, smoothed
-    std::vector<double> inflow;        // by class, engine-seconds a second, smoothed
-    std::vector<Time> inflow_at;
-    std::vector<double> ahead;  // by class, seconds from arrival to due, smoothed
+  struct TeamState {
+    std::vector<MeanCostRatio> mean_cost_ratio;  // by class
+    std::vector<double> to_soft_deadline;  // by class, seconds from arrival to the wanted time, smoothed
+    std::vector<double> arrival_rate;      // by class, engine-seconds a second, smoothed
+    std::vector<Time> arrival_rate_at;
+    std::vector<double> to_due;  // by class, seconds from arrival to due, smoothed
     // Wait that came over the forecast before correction, by the forecast's size: short ones are off in other
     // ways than long ones.
-    std::array<Distribution, 3> errors{Distribution{0.1, 10, 4000}, Distribution{0.1, 10, 4000},
-                                       Distribution{0.1, 10, 4000}};
+    std::array<Distribution, 3> forecast_errors{Distribution{0.1, 10, 4000}, Distribution{0.1, 10, 4000},
+                                                Distribution{0.1, 10, 4000}};
   };
-  struct Expected {  // of one that would arrive now
+  struct Estimate {  // of one that would arrive now
     std::size_t team = 0;
-    double typical = 0, cost = 0;  // seconds of one core: usual, and charged
-    double raw = 0;                // forecast of its wait before correction, seconds
-    double own = 0, span = 0;      // seconds from now to its due time, taken by itself; to its wanted time
-    Time due{}, until{};
-    Duration allowed{};  // a longer wait is not worth while
-    Quote quote;
+    double typical_cost = 0, cost = 0;  // seconds of one core: usual, and charged
+    double raw_forecast_s = 0;          // forecast of its wait before correction, seconds
+    double to_due = 0,
+           to_soft_deadline = 0;  // seconds from now to its due time, taken by itself; to its wanted time
+    Time due{}, expires{};
+    Duration max_wait{};  // a longer wait is not worth while
+    WaitEstimate wait;
   };
-  void lay_out(Time now);
+  void rebuild_teams(Time now);
   unsigned level(std::size_t team, std::size_t cls) const;
-  double inflow(Time now, std::size_t team, std::size_t cls) const;
-  void note_inflow(Time now, std::size_t team, std::size_t cls, double cost);
-  void fill_tanks(Time now);
-  double forecast(Time now, std::size_t team, Time due);
-  Expected expect(Time now, const Arrival& arrival, bool room);
-  std::size_t overdue(Time now, std::size_t but) const;
-  bool room(Time now, std::size_t team);
-  double typical(const In& in) const;
-  void enter(Time now, QueryId query, const In& in, bool overdue = false);
-  void went(Time now, const Entry& entry);
-  Verdict turn_away(const Expected& expected, Duration allowed, QueryId query) const;
-  void learn_pace(Time now);
+  double arrival_rate(Time now, std::size_t team, std::size_t cls) const;
+  void add_arrival(Time now, std::size_t team, std::size_t cls, double cost);
+  void fill_fluid_queues(Time now);
+  double forecast_wait_s(Time now, std::size_t team, Time due);
+  Estimate estimate(Time now, const Arrival& arrival, bool immediately);
+  std::size_t other_overdue_teams(Time now, std::size_t team) const;
+  bool has_capacity(Time now, std::size_t team);
+  double typical_cost(const Admitted& request) const;
+  void admit(Time now, QueryId query, const Admitted& request, bool overdue = false);
+  void record_wait(Time now, const Entry& entry);
+  Verdict reject(const Estimate& estimate, Duration max_wait, QueryId query) const;
+  void update_throughput(Time now);
 
   Settings settings_;
   std::size_t classes_;
   throttle::Capacity capacity_;
   throttle::Cost cost_;
-  Accounts accounts_;
-  FairOrder order_;
-  Waiting waiting_;
-  ServiceTimes service_;
-  Bands bands_;
-  std::vector<Team> teams_;
-  std::vector<Tank> tanks_, walked_;  // kept for their memory
-  std::unordered_map<QueryId, In> in_;
-  std::unordered_map<QueryId, Waits> waits_;
-  double threads_in_ = 0, cores_ = 0;  // of what runs, sunk ones counted in part
-  double pace_ = 0, window_gone_ = 0;  // what goes to engines while somebody waits, engine-seconds a second
-  Time window_{};
-  int pace_windows_ = 0, off_windows_ = 0;
-  Figures figures_;
+  BudgetAccounts accounts_;
+  TeamSelector selector_;
+  RequestQueue queue_;
+  ServiceTimes service_times_;
+  EnginePriorities priorities_;
+  std::vector<TeamState> teams_;
+  std::vector<FluidQueue> fluid_queues_, fluid_scratch_;  // kept for their memory
+  std::unordered_map<QueryId, Admitted> admitted_;
+  std::unordered_map<QueryId, Queued> queued_;
+  double threads_in_use_ = 0, cores_ = 0;  // of what runs, sunk ones counted in part
+  double throughput_ = 0,
+         window_cost_ = 0;  // what goes to engines while somebody waits, engine-seconds a second
+  Time window_start_{};
+  int throughput_windows_ = 0, deviating_windows_ = 0;
+  Metrics metrics_;
 };
 
 }  // namespace yokestream::scheduler
--- a/src/scheduler/service_times.cpp
+++ b/src/scheduler/service_times.cpp
@@ -7,49 +7,51 @@
 
 namespace bh = boost::histogram;
 
-Distribution::Distribution(double least, double most, double full)
-    : least_(least),
-      most_(most),
-      full_(full),
-      histogram_(bh::make_histogram_with(std::vector<float>(), Axis(kBins, least, most))) {}
+Distribution::Distribution(double min_value, double max_value, double max_count)
+    : min_value_(min_value),
+      max_value_(max_value),
+      max_count_(max_count),
+      histogram_(bh::make_histogram_with(std::vector<float>(), Axis(kBins, min_value, max_value))) {}
 
 void Distribution::add(double value) {
   if (!std::isfinite(value) || value <= 0) return;
-  histogram_(std::clamp(value, least_, most_ * 0.999));
-  if (++count_ < full_) return;
+  histogram_(std::clamp(value, min_value_, max_value_ * 0.999));
+  if (++count_ < max_count_) return;
   histogram_ *= 0.5f;
   count_ /= 2;
 }
 
-double Distribution::quantile(double part, double otherwise) const {
-  if (count_ < kFew) return otherwise;
-  double left = part * count_;
+double Distribution::quantile(double fraction, double fallback) const {
+  if (count_ < kMinSamples) return fallback;
+  double left = fraction * count_;
   const Axis& axis = histogram_.axis();
   for (int i = 0; i < kBins; ++i) {
     const double here = histogram_.at(i);
     if (here > 0 && left <= here) return axis.value(i + left / here);  // log-linear within the bin
     left -= here;
   }
-  return most_;
+  return max_value_;
 }
 
 namespace {
-constexpr double kLeastStretch = 0.05, kMostStretch = 200;
-double guess(double part) { return part <= 0.5 ? 1.0 : 3.0; }  // nobody has shown anything yet
+constexpr double kMinSlowdown = 0.05, kMaxSlowdown = 200;
+double default_slowdown(double fraction) {
+  return fraction <= 0.5 ? 1.0 : 3.0;
+}  // nobody has shown anything yet
 }  // namespace
 
 ServiceTimes::ServiceTimes(std::size_t teams, std::size_t classes)
     : classes_(classes),
-      by_team_(teams * classes, Distribution(kLeastStretch, kMostStretch)),
-      by_class_(classes, Distribution(kLeastStretch, kMostStretch)) {}
+      by_team_(teams * classes, Distribution(kMinSlowdown, kMaxSlowdown)),
+      by_class_(classes, Distribution(kMinSlowdown, kMaxSlowdown)) {}
 
-void ServiceTimes::learn(std::size_t team, std::size_t cls, double stretch) {
-  by_team_[team * classes_ + cls].add(stretch);
-  by_class_[cls].add(stretch);
+void ServiceTimes::add(std::size_t team, std::size_t cls, double slowdown) {
+  by_team_[team * classes_ + cls].add(slowdown);
+  by_class_[cls].add(slowdown);
 }
 
-double ServiceTimes::stretch(std::size_t team, std::size_t cls, double part) const {
-  return of(team, cls).quantile(part, by_class_[cls].quantile(part, guess(part)));
+double ServiceTimes::slowdown(std::size_t team, std::size_t cls, double fraction) const {
+  return of(team, cls).quantile(fraction, by_class_[cls].quantile(fraction, default_slowdown(fraction)));
 }
 
 }  // namespace yokestream::scheduler
--- a/src/scheduler/service_times.h
+++ b/src/scheduler/service_times.h
@@ -14,18 +14,18 @@
  public:
   static constexpr int kBins = 60;
 
-  Distribution(double least, double most, double full = 400);
+  Distribution(double min_value, double max_value, double max_count = 400);
   void add(double value);
   double count() const { return count_; }
   // `otherwise` until `kFew` outcomes are known.
-  double quantile(double part, double otherwise) const;
-  static constexpr double kFew = 8;
+  double quantile(double fraction, double fallback) const;
+  static constexpr double kMinSamples = 8;
 
  private:
   using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
   using Histogram =
       decltype(boost::histogram::make_histogram_with(std::vector<float>(), std::declval<Axis>()));
-  double least_, most_, full_;
+  double min_value_, max_value_, max_count_;
   Histogram histogram_;
   double count_ = 0;
 };
@@ -35,8 +35,8 @@
 class ServiceTimes {
  public:
   ServiceTimes(std::size_t teams, std::size_t classes);
-  void learn(std::size_t team, std::size_t cls, double stretch);  // time taken over unloaded time
-  double stretch(std::size_t team, std::size_t cls, double part) const;
+  void add(std::size_t team, std::size_t cls, double slowdown);  // time taken over unloaded time
+  double slowdown(std::size_t team, std::size_t cls, double fraction) const;
 
  private:
   const Distribution& of(std::size_t team, std::size_t cls) const { return by_team_[team * classes_ + cls]; }
--- a/src/scheduler/quote.h
+++ b/src/scheduler/wait_estimate.h
@@ -6,8 +6,8 @@
 namespace yokestream::scheduler {
 
 // From now: until it goes to an engine, and until its answer comes; the median, and what nine in ten keep.
-struct Quote {
-  policy::Duration wait{}, wait_most{}, answer{}, answer_most{};
+struct WaitEstimate {
+  policy::Duration wait{}, wait_p90{}, response{}, response_p90{};
 };
 
 }  // namespace yokestream::scheduler
--- a/src/scheduler/forecast.h
+++ b/src/scheduler/wait_forecast.h
@@ -11,21 +11,22 @@
 
 #include <vector>
 
-#include "scheduler/accounts.h"
+#include "scheduler/budget_accounts.h"
 
 namespace yokestream::scheduler {
 
-struct Tank {
-  double work = 0;    // that waits, engine-seconds
-  double inflow = 0;  // engine-seconds a second
+struct FluidQueue {
+  double work = 0;          // that waits, engine-seconds
+  double arrival_rate = 0;  // engine-seconds a second
   double weight = 1;
-  double budget = 0;     // balance
-  double fills = 0;      // the budget's rate
-  double floor = 0;      // engine-seconds a second
-  double ceiling = 1e9;  // the same
+  double budget_balance = 0;  // balance
+  double budget_rate = 0;     // the budget's rate
+  double floor_rate = 0;      // engine-seconds a second
+  double ceiling_rate = 1e9;  // the same
 };
 
 // Seconds until `team` has drained `ahead`; at most `most`.
-double drained_after(std::vector<Tank>& tanks, std::size_t team, double ahead, double per_s, double most);
+double drain_time(std::vector<FluidQueue>& queues, std::size_t team, double work_ahead, double throughput,
+                  double max_time);
 
 }  // namespace yokestream::scheduler
--- a/src/standin/deadline.cpp
+++ b/src/standin/deadline.cpp
@@ -51,14 +51,14 @@
 
 scheduler::Settings teams_of_members() {
   scheduler::Settings out;
-  out.on = true;
+  out.enabled = true;
   out.teams.resize(1);
   out.teams[0].name = "rest";
   for (std::size_t i = 0; i < kMembers; ++i) {
     scheduler::Team team;
     team.name = kMemberNames[i];
     team.share = kShares[i];
-    team.level = {2, 1, 1};
+    team.level_by_class = {2, 1, 1};
     out.team_of.push_back(out.teams.size());
     out.teams.push_back(team);
   }
@@ -75,7 +75,7 @@
   config::Config config = config::decode_config(platform_config(pool));
   config.queues = teams_of_members();
   if (play.change) play.change(config.queues);
-  config.queues.on = play.queues;
+  config.queues.enabled = play.queues;
   config.door.on = play.door;
   config.door.weights.assign(kShares, kShares + kMembers);
   EngineSettings engine;
@@ -107,9 +107,9 @@
   seen.left_open = world.core().open_requests();
   for (const Service& s : seen.services) {
     for (const auto& [quoted, came, at] : s.waits) {
-      const bool right = scheduler::quote_right(quoted, came);
+      const bool right = scheduler::is_accurate(quoted, came);
       ++seen.quotes, seen.right += right;
-      if (quoted < scheduler::kShort && came < scheduler::kShort) continue;
+      if (quoted < scheduler::kShortWaitS && came < scheduler::kShortWaitS) continue;
       ++seen.long_quotes, seen.long_right += right;
     }
   }
@@ -139,9 +139,9 @@
 double decision_microseconds() {
   constexpr std::size_t kWaiting = 100'000, kTeams = 16, kRounds = 20'000;
   scheduler::Settings settings;
-  settings.on = true;
-  settings.waiting = kWaiting + 10;
-  settings.patience = 1, settings.most_wait = std::chrono::hours(1);
+  settings.enabled = true;
+  settings.max_queued = kWaiting + 10;
+  settings.slack_factor = 1, settings.max_wait = std::chrono::hours(1);
   for (std::size_t i = 0; i < kTeams; ++i) {
     scheduler::Team team;
     team.name = numbered("t", i);
@@ -151,21 +151,22 @@
   }
   Time now{seconds(1000)};
   scheduler::Scheduler queues(now, settings, 2);
-  queues.cores(now, 1000);
+  queues.set_cores(now, 1000);
   std::uint64_t last = 0;
   const auto arrive = [&] {
     scheduler::Arrival a;
     a.query = policy::QueryId{++last};
-    a.member = last % kTeams, a.cls = last % 2, a.estimated_work_s = 0.02;
-    a.deadline = now + std::chrono::hours(1), a.wanted = now + seconds(60);
-    queues.arrive(now, a);
+    a.tenant = last % kTeams, a.cls = last % 2, a.estimated_work_s = 0.02;
+    a.deadline = now + std::chrono::hours(1), a.soft_deadline = now + seconds(60);
+    queues.offer(now, a);
   };
-  while (queues.figures().waiting < kWaiting) arrive();
+  while (queues.metrics().waiting < kWaiting) arrive();
   const auto began = std::chrono::steady_clock::now();
   for (std::size_t i = 0; i < kRounds; ++i) {
     now += std::chrono::microseconds(20);
     arrive();
-    queues.over(now, policy::QueryId{i + 1}, {});  // the first ones passed at once: there is room again
+    queues.on_request_finished(now, policy::QueryId{i + 1},
+                               {});  // the first ones passed at once: there is room again
     while (queues.next(now)) {
     }
   }
@@ -178,7 +179,7 @@
               seen.in_time(kLookup), seen.served(kLookup), seen.in_time(kReport), seen.served(kReport),
               seen.quotes, part(seen.right, seen.quotes), seen.long_quotes,
               part(seen.long_right, seen.long_quotes), static_cast<unsigned long long>(seen.figures.expired),
-              seen.figures.longest_wait);
+              seen.figures.longest_wait_s);
 }
 
 }  // namespace
@@ -214,8 +215,8 @@
   trickle.patience = seconds(25), trickle.memory = 64, trickle.until = seconds(150);
   low.more = {trickle};
   low.change = [](scheduler::Settings& q) {
-    q.teams[3].budget = 0;
-    q.teams[3].level = {0, 0, 0};
+    q.teams[3].budget_s = 0;
+    q.teams[3].level_by_class = {0, 0, 0};
   };
   struct Run {
     const char* name;
--- a/src/standin/deadline.h
+++ b/src/standin/deadline.h
@@ -29,7 +29,7 @@
 struct DeadlineSeen {
   std::vector<Load> loads;
   std::vector<Service> services;  // by load
-  scheduler::Figures figures;
+  scheduler::Metrics figures;
   std::size_t left_open = 0;
   // In-time share of a class's first tries (of all teams, or of one).
   double in_time(std::size_t cls, std::size_t member = kMembersAll) const {
--- a/src/standin/world.cpp
+++ b/src/standin/world.cpp
@@ -235,7 +235,7 @@
 void World::send_failure(dispatch::SessionId s, dispatch::CallId c, std::string_view) {
   later(now_, [this, s, c] { answered(s, c, "failed", {}); });
 }
-void World::attach_quote(dispatch::SessionId s, dispatch::CallId c, const scheduler::Quote& quote) {
+void World::attach_quote(dispatch::SessionId s, dispatch::CallId c, const scheduler::WaitEstimate& quote) {
   const auto it = open_.find({s, c});
   tell_trace("quoted", c, exact(quote.wait));
   if (it != open_.end()) asked_.at(it->second.id).quoted = seconds_of(quote.wait);
--- a/src/standin/world.h
+++ b/src/standin/world.h
@@ -129,7 +129,7 @@
   void send_result(dispatch::SessionId, dispatch::CallId, dispatch::Result) override;
   void send_rejection(dispatch::SessionId, dispatch::CallId, Duration) override;
   void send_failure(dispatch::SessionId, dispatch::CallId, std::string_view) override;
-  void attach_quote(dispatch::SessionId, dispatch::CallId, const scheduler::Quote&) override;
+  void attach_quote(dispatch::SessionId, dispatch::CallId, const scheduler::WaitEstimate&) override;
   void send_readiness(dispatch::SessionId, dispatch::CallId, bool) override {}
   void close(dispatch::SessionId session) override;
   bool close_if_idle(dispatch::SessionId session) override { return close(session), true; }
--- a/tests/node/deadline_test.cpp
+++ b/tests/node/deadline_test.cpp
@@ -50,7 +50,7 @@
   REQUIRE(seen.long_quotes > 1000);
   CHECK(static_cast<double>(seen.right) > 0.6 * static_cast<double>(seen.quotes));
   CHECK(static_cast<double>(seen.long_right) > 0.25 * static_cast<double>(seen.long_quotes));
-  CHECK(seen.figures.expired < seen.figures.waited / 50);
+  CHECK(seen.figures.expired < seen.figures.queued / 50);
 }
 
 TEST_CASE("a team's lookups at eight times its budget for a minute do not bury another's reports") {
@@ -79,9 +79,9 @@
     bad[0].bad_plans = 0.4;
     const auto good = play_deadline(usual, play), seen = play_deadline(bad, play);
     check_rules(seen);
-    CHECK(seen.figures.sunk > 0);
+    CHECK(seen.figures.demoted > 0);
     kept += seen.in_time(kLookup) / good.in_time(kLookup) / 3;
-    play.change = [](scheduler::Settings& q) { q.sink = 100; };
+    play.change = [](scheduler::Settings& q) { q.demotion_factor = 100; };
     without += play_deadline(bad, play).in_time(kLookup) / good.in_time(kLookup) / 3;
   }
   CHECK(kept > 0.9);
@@ -114,7 +114,7 @@
         auto fewer = teams_of_members();
         fewer.teams.pop_back();  // its requests go to the rest
         fewer.team_of.back() = 0;
-        fewer.teams[1].budget = seed % 2 ? 0 : 1e6;
+        fewer.teams[1].budget_s = seed % 2 ? 0 : 1e6;
         world.configure(fewer);
       });
       world.at(at(4), [&world] { world.slow_all(3); });
@@ -124,8 +124,8 @@
     CAPTURE(seed);
     const auto seen = play_deadline(loads, play);
     check_rules(seen);
-    CHECK(seen.figures.waited > 100);
-    CHECK(seen.figures.longest_wait <= 10.6);  // ten seconds, and a core that stood still
+    CHECK(seen.figures.queued > 100);
+    CHECK(seen.figures.longest_wait_s <= 10.6);  // ten seconds, and a core that stood still
   }
 }
 
@@ -156,8 +156,8 @@
       pool.engines = {{"127.0.0.1", 7001}, {"127.0.0.1", 7002}};
       auto config = config::decode_config(platform_config(pool));
       config.queues = teams_of_members();
-      for (auto& team : config.queues.teams) team.level = {1, 1, 1};
-      config.queues.on = on;
+      for (auto& team : config.queues.teams) team.level_by_class = {1, 1, 1};
+      config.queues.enabled = on;
       World world(config, std::vector<EngineSettings>(2), {stream(0, kLookup, 5, 0.1, 20)}, seed);
       world.record = true;
       world.run(seconds(30));
--- a/tests/node/operator_test.cpp
+++ b/tests/node/operator_test.cpp
@@ -81,8 +81,8 @@
       platform());
   REQUIRE(told.queues.teams.size() == 3);
   CHECK(told.queues.teams[1].share == 1);
-  CHECK(told.queues.teams[2].budget == 30);
-  CHECK(told.queues.teams[2].level == std::vector<unsigned>{1, 3});
+  CHECK(told.queues.teams[2].budget_s == 30);
+  CHECK(told.queues.teams[2].level_by_class == std::vector<unsigned>{1, 3});
   CHECK(told.queues.team_of == std::vector<std::size_t>{2});
   const auto rest = decode(R"({"queues":{"teams":{}}})", platform());
   CHECK(rest.queues.team_of == std::vector<std::size_t>{0});
--- a/tests/node/scheduler_test.cpp
+++ b/tests/node/scheduler_test.cpp
@@ -21,13 +21,13 @@
 
 scheduler::Team team(const char* name, double share, std::vector<unsigned> level = {1, 1}) {
   scheduler::Team t;
-  t.name = name, t.share = share, t.level = std::move(level);
+  t.name = name, t.share = share, t.level_by_class = std::move(level);
   return t;
 }
 // `rest` and one team a share, a member each.
 Settings settings(const std::vector<double>& shares) {
   Settings out;
-  out.on = true;
+  out.enabled = true;
   out.teams.push_back(team("rest", 0));
   for (std::size_t i = 0; i < shares.size(); ++i) {
     out.team_of.push_back(i + 1);
@@ -38,7 +38,9 @@
 
 // Engines as a fluid beside the queues: what has passed is worked off at `cores`, each on one thread.
 struct Rig {
-  Rig(const Settings& s, double cores_) : cores(cores_), queues(kStart, s, 2) { queues.cores(now, cores_); }
+  Rig(const Settings& s, double cores_) : cores(cores_), queues(kStart, s, 2) {
+    queues.set_cores(now, cores_);
+  }
   double cores;
   Scheduler queues;
   Time now = kStart;
@@ -55,14 +57,14 @@
   QueryId arrive(std::size_t member, double cost, std::size_t cls = 0, Duration left = 30s) {
     Arrival a;
     a.query = QueryId{++last};
-    a.member = member, a.cls = cls, a.estimated_work_s = cost;
-    a.deadline = now + left, a.wanted = now + left / 2;
-    const Verdict v = queues.arrive(now, a);
+    a.tenant = member, a.cls = cls, a.estimated_work_s = cost;
+    a.deadline = now + left, a.soft_deadline = now + left / 2;
+    const Verdict v = queues.offer(now, a);
     came[a.query] = now, team_of[a.query] = queues.team_of(member), costs[a.query] = cost;
-    if (v.ruling == Ruling::pass) run(a.query);
-    if (v.ruling == Ruling::wait) waits.insert(a.query);
-    if (v.ruling == Ruling::turn_away) ++refused;
-    REQUIRE((v.ruling != Ruling::turn_away || v.hint >= 50ms));
+    if (v.decision == Decision::admit) run(a.query);
+    if (v.decision == Decision::queue) waits.insert(a.query);
+    if (v.decision == Decision::reject) ++refused;
+    REQUIRE((v.decision != Decision::reject || v.retry_after >= 50ms));
     move();
     return a.query;
   }
@@ -71,11 +73,11 @@
     while (const auto moved = queues.next(now)) {
       REQUIRE(waits.erase(moved->query) == 1);
       longest = std::max(longest, seconds(now - came[moved->query]));
-      if (moved->verdict.ruling == Ruling::pass) {
+      if (moved->verdict.decision == Decision::admit) {
         run(moved->query);
       } else {
         ++refused;
-        queues.over(now, moved->query, {});
+        queues.on_request_finished(now, moved->query, {});
       }
     }
   }
@@ -92,7 +94,7 @@
         runs.erase(q);
         throttle::Outcome o;
         o.ran = true, o.took = now - came[q], o.real = costs[q];
-        queues.over(now, q, o);
+        queues.on_request_finished(now, q, o);
       }
       move();
     }
@@ -106,22 +108,22 @@
     const Duration age = from_seconds(0.1 + 3 * draw(random));
     const Time a = kStart + from_seconds(5 * draw(random)), w = a + from_seconds(8 * draw(random));
     const Duration needs = from_seconds(2 * draw(random));
-    const auto level = static_cast<unsigned>(random() % kLevels);
+    const auto level = static_cast<unsigned>(random() % kServiceLevels);
     const Time due = due_time(a, level, age, w, needs), later = a + from_seconds(9 * draw(random));
     CHECK(due >= a);
     CHECK((due <= a + 3 * age));
-    CHECK(priority(later + 1s, due, age) > priority(later, due, age));
+    CHECK(aged_priority(later + 1s, due, age) > aged_priority(later, due, age));
     CHECK(due_time(a, level, age, w - 500ms, needs) <= due);             // nearer: no lower
     if (level < 3) CHECK(due_time(a, level + 1, age, w, needs) <= due);  // higher level: no lower
     const Time other = due_time(a + 300ms, level, age, w + 1s, needs);
-    CHECK((priority(later, due, age) < priority(later, other, age)) ==
-          (priority(later + 7s, due, age) < priority(later + 7s, other, age)));
+    CHECK((aged_priority(later, due, age) < aged_priority(later, other, age)) ==
+          (aged_priority(later + 7s, due, age) < aged_priority(later + 7s, other, age)));
   }
 }
 
 TEST_CASE("the work ahead by due time is that of a plain sum") {
   std::mt19937_64 random(8);
-  WorkByDue sums(30s);
+  WorkByDueTime sums(30s);
   std::vector<std::pair<Time, double>> plain;
   Time now = kStart;
   for (int i = 0; i < 4000; ++i) {
@@ -142,8 +144,8 @@
     const Time asked = now + std::chrono::milliseconds(random() % 9000);
     double sure = 0, most = 0;  // but for the slot that it falls into
     for (const auto& [due, work] : plain) {
-      sure += due < asked - sums.width() ? work : 0;
-      most += due < asked + sums.width() ? work : 0;
+      sure += due < asked - sums.slot_width() ? work : 0;
+      most += due < asked + sums.slot_width() ? work : 0;
     }
     CHECK(sums.before(asked) >= sure - 1e-6);
     CHECK(sums.before(asked) <= most + 1e-6);
@@ -152,77 +154,81 @@
 
 TEST_CASE("accounts: a budget of zero borrows, budgets over the whole are cut, debt is paid back in a span") {
   Settings s = settings({0.5, 0.8});
-  s.teams[1].budget = 0;
-  Accounts accounts;
+  s.teams[1].budget_s = 0;
+  BudgetAccounts accounts;
   accounts.configure(kStart, s);
-  accounts.capacity(kStart, 10);
-  CHECK(accounts.standing(kStart, 1) == Standing::borrowing);
-  CHECK(accounts.rate(1) == 0);
-  CHECK(accounts.rate(2) == doctest::Approx(8));
-  CHECK(accounts.certain(1) == doctest::Approx(0.1 * 10 / 3));
-  s.teams[1].budget = 60 * 10 * 3.0;  // three times the whole
+  accounts.set_throughput(kStart, 10);
+  CHECK(accounts.status(kStart, 1) == BudgetStatus::borrowing);
+  CHECK(accounts.budget_rate(1) == 0);
+  CHECK(accounts.budget_rate(2) == doctest::Approx(8));
+  CHECK(accounts.guaranteed_rate(1) == doctest::Approx(0.1 * 10 / 3));
+  s.teams[1].budget_s = 60 * 10 * 3.0;  // three times the whole
   accounts.configure(kStart, s);
-  accounts.capacity(kStart, 10);
-  CHECK(accounts.rate(1) + accounts.rate(2) == doctest::Approx(10));
+  accounts.set_throughput(kStart, 10);
+  CHECK(accounts.budget_rate(1) + accounts.budget_rate(2) == doctest::Approx(10));
   accounts.charge(kStart, 2, 1e9);
-  CHECK(accounts.standing(kStart, 2) == Standing::borrowing);
-  CHECK(accounts.budget(kStart, 2) == doctest::Approx(-60 * accounts.rate(2)));
-  CHECK(accounts.standing(kStart + 59s, 2) == Standing::borrowing);
-  CHECK(accounts.standing(kStart + 61s, 2) == Standing::within);
-  CHECK(accounts.budget(kStart + 1000s, 2) == doctest::Approx(60 * accounts.rate(2)));  // a span's burst
+  CHECK(accounts.status(kStart, 2) == BudgetStatus::borrowing);
+  CHECK(accounts.budget_balance(kStart, 2) == doctest::Approx(-60 * accounts.budget_rate(2)));
+  CHECK(accounts.status(kStart + 59s, 2) == BudgetStatus::borrowing);
+  CHECK(accounts.status(kStart + 61s, 2) == BudgetStatus::within_budget);
+  CHECK(accounts.budget_balance(kStart + 1000s, 2) ==
+        doctest::Approx(60 * accounts.budget_rate(2)));  // a span's burst
 }
 
 TEST_CASE(
     "accounts: a floor is owed whatever was used, a ceiling bars, a group's account holds for its teams") {
   Settings s = settings({0.5, 0.5});
   s.teams[1].floor = 0.2, s.teams[2].ceiling = 0.3;
-  Accounts accounts;
+  BudgetAccounts accounts;
   accounts.configure(kStart, s);
-  accounts.capacity(kStart, 10);
+  accounts.set_throughput(kStart, 10);
   accounts.charge(kStart, 1, 1e6);
-  CHECK(accounts.standing(kStart, 1) == Standing::borrowing);
-  CHECK(accounts.standing(kStart + 2s, 1) == Standing::owed);
+  CHECK(accounts.status(kStart, 1) == BudgetStatus::borrowing);
+  CHECK(accounts.status(kStart + 2s, 1) == BudgetStatus::below_floor);
   accounts.charge(kStart + 2s, 2, 3.5);
-  CHECK(accounts.standing(kStart + 2s, 2) == Standing::barred);
-  CHECK(accounts.standing(kStart + 3s, 2) == Standing::within);
+  CHECK(accounts.status(kStart + 2s, 2) == BudgetStatus::at_ceiling);
+  CHECK(accounts.status(kStart + 3s, 2) == BudgetStatus::within_budget);
   s.teams[1].group = s.teams[2].group = "rest";
   s.teams[0].share = 1;
-  Accounts grouped;
+  BudgetAccounts grouped;
   grouped.configure(kStart, s);
-  grouped.capacity(kStart, 10);
+  grouped.set_throughput(kStart, 10);
   grouped.charge(kStart, 1, 1e6);
-  CHECK(grouped.standing(kStart, 0) == Standing::borrowing);
-  CHECK_FALSE(grouped.leaf(0));
+  CHECK(grouped.status(kStart, 0) == BudgetStatus::borrowing);
+  CHECK_FALSE(grouped.is_leaf(0));
 }
 
 // The same fluid in steps of a millisecond.
-double plain_drain(std::vector<Tank> tanks, std::size_t asked, double ahead, double per_s, double most) {
-  tanks[asked].work = std::max(tanks[asked].work, ahead);
+double plain_drain(std::vector<FluidQueue> queues, std::size_t asked, double ahead, double per_s,
+                   double most) {
+  queues[asked].work = std::max(queues[asked].work, ahead);
   const double step = 0.001;
   for (double at = 0; at < most; at += step) {
-    std::vector<double> left, got(tanks.size(), 0);
-    for (auto& t : tanks) t.work += t.inflow * step, left.push_back(std::min(t.work, t.ceiling * step));
+    std::vector<double> left, got(queues.size(), 0);
+    for (auto& t : queues)
+      t.work += t.arrival_rate * step, left.push_back(std::min(t.work, t.ceiling_rate * step));
     double room = per_s * step;
-    for (std::size_t i = 0; i < tanks.size(); ++i) {
-      got[i] = std::min({left[i], tanks[i].floor * step, room});
+    for (std::size_t i = 0; i < queues.size(); ++i) {
+      got[i] = std::min({left[i], queues[i].floor_rate * step, room});
       room -= got[i];
     }
     for (const bool within : {true, false}) {
       for (int round = 0; round < 20; ++round) {
         double weights = 0, used = 0;
-        for (std::size_t i = 0; i < tanks.size(); ++i)
-          weights += (tanks[i].budget > 0) == within && got[i] < left[i] - 1e-12 ? tanks[i].weight : 0;
-        for (std::size_t i = 0; weights > 0 && i < tanks.size(); ++i) {
-          if ((tanks[i].budget > 0) != within || got[i] >= left[i] - 1e-12) continue;
-          const double more = std::min(left[i] - got[i], room * tanks[i].weight / weights);
+        for (std::size_t i = 0; i < queues.size(); ++i)
+          weights +=
+              (queues[i].budget_balance > 0) == within && got[i] < left[i] - 1e-12 ? queues[i].weight : 0;
+        for (std::size_t i = 0; weights > 0 && i < queues.size(); ++i) {
+          if ((queues[i].budget_balance > 0) != within || got[i] >= left[i] - 1e-12) continue;
+          const double more = std::min(left[i] - got[i], room * queues[i].weight / weights);
           got[i] += more, used += more;
         }
         room -= used;
       }
     }
-    for (std::size_t i = 0; i < tanks.size(); ++i) {
-      tanks[i].work -= got[i];
-      tanks[i].budget += tanks[i].fills * step - got[i];
+    for (std::size_t i = 0; i < queues.size(); ++i) {
+      queues[i].work -= got[i];
+      queues[i].budget_balance += queues[i].budget_rate * step - got[i];
     }
     ahead -= got[asked];
     if (ahead <= 0) return at + step;
@@ -235,20 +241,20 @@
   std::uniform_real_distribution<double> draw(0, 1);
   double errors = 0;
   for (int i = 0; i < 60; ++i) {
-    std::vector<Tank> tanks(2 + random() % 4);
-    for (Tank& t : tanks) {
+    std::vector<FluidQueue> queues(2 + random() % 4);
+    for (FluidQueue& t : queues) {
       t.work = random() % 3 ? 20 * draw(random) : 0;
-      t.inflow = 4 * draw(random);
+      t.arrival_rate = 4 * draw(random);
       t.weight = 0.2 + draw(random);
-      t.budget = 30 * draw(random) - 10;
-      t.fills = 2 * draw(random);
-      t.floor = random() % 4 ? 0 : draw(random);
-      t.ceiling = random() % 4 ? 1e9 : 1 + 3 * draw(random);
+      t.budget_balance = 30 * draw(random) - 10;
+      t.budget_rate = 2 * draw(random);
+      t.floor_rate = random() % 4 ? 0 : draw(random);
+      t.ceiling_rate = random() % 4 ? 1e9 : 1 + 3 * draw(random);
     }
     const double ahead = 0.5 + 10 * draw(random);
-    const double plain = plain_drain(tanks, 0, ahead, 10, 30);
-    std::vector<Tank> walked = tanks;
-    const double wait = drained_after(walked, 0, ahead, 10, 30);
+    const double plain = plain_drain(queues, 0, ahead, 10, 30);
+    std::vector<FluidQueue> walked = queues;
+    const double wait = drain_time(walked, 0, ahead, 10, 30);
     CAPTURE(i);
     CHECK(wait == doctest::Approx(plain).epsilon(0.25));  // budgets that hover round nothing
     errors += std::abs(wait - plain) / plain / 60;
@@ -278,20 +284,20 @@
   };
   for (int i = 0; i < 3200; ++i) ask(false);  // 16 a second of 10, for longer than what was saved up lasts
   CHECK(rig.gone[1] + rig.gone[2] > 0.85 * 10 * 80);
-  CHECK(rig.queues.budget(rig.now, 1) < 0);
+  CHECK(rig.queues.budget_balance(rig.now, 1) < 0);
   const double before = rig.gone[3];
   for (int i = 0; i < 400; ++i) ask(true);  // 4 a second
   CHECK(rig.gone[3] - before > 0.95 * 4 * 10);
   rig.pass(300s, 1s);
-  CHECK(rig.queues.standing(rig.now, 1) == Standing::within);
+  CHECK(rig.queues.budget_status(rig.now, 1) == BudgetStatus::within_budget);
 }
 
 TEST_CASE(
     "what can wait finishes beside a flood for an hour, whatever its budget; no wait passes its bound") {
   Settings s = settings({1.0, 0});
-  s.teams[2].budget = 0;
-  s.teams[2].level = {0, 0};
-  s.most_wait = 20s, s.patience = 1;
+  s.teams[2].budget_s = 0;
+  s.teams[2].level_by_class = {0, 0};
+  s.max_wait = 20s, s.slack_factor = 1;
   Rig rig(s, 4);
   std::set<QueryId> low;
   for (int i = 0; i < 36'000; ++i) {
@@ -301,7 +307,7 @@
   }
   rig.pass(60s, 100ms);
   CHECK(rig.gone[2] >= 0.97 * 360 * 0.5);
-  CHECK(rig.queues.figures().rescued > 100);
+  CHECK(rig.queues.metrics().dispatched_overdue > 100);
   CHECK(rig.longest <= 20.2);
 }
 
@@ -310,8 +316,8 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     std::mt19937_64 random(seed);
     Settings s = settings({0.5, 0.3, 0.2});
-    s.most_wait = 3s, s.patience = 1;
-    s.waiting = 200;
+    s.max_wait = 3s, s.slack_factor = 1;
+    s.max_queued = 200;
     Rig rig(s, 4);
     for (int i = 0; i < 1500; ++i) {
       for (std::uint64_t k = random() % 4; k > 0; --k)
@@ -321,25 +327,25 @@
         const QueryId q =
             *std::next(rig.waits.begin(), static_cast<std::ptrdiff_t>(random() % rig.waits.size()));
         rig.waits.erase(q);
-        rig.queues.over(rig.now, q, {});
+        rig.queues.on_request_finished(rig.now, q, {});
       }
       if (random() % 200 == 0) {
         Settings changed = settings({0.2 + 0.1 * static_cast<double>(random() % 5), 0.3, 0.2});
-        changed.most_wait = 3s, changed.patience = 1, changed.waiting = 200;
+        changed.max_wait = 3s, changed.slack_factor = 1, changed.max_queued = 200;
         if (random() % 2) changed.teams.pop_back(), changed.team_of[2] = 1;  // what waits there goes to t0
         rig.queues.configure(rig.now, changed);
         for (auto& [q, t] : rig.team_of) t = std::min(t, changed.teams.size() - 1);
       }
       rig.pass(std::chrono::milliseconds(10 + 10 * (random() % 3)));
-      const Figures f = rig.queues.figures();
+      const Metrics f = rig.queues.metrics();
       REQUIRE(f.waiting == rig.waits.size());
-      REQUIRE(f.in == rig.runs.size());
-      REQUIRE(f.threads_in == doctest::Approx(static_cast<double>(rig.runs.size())));
+      REQUIRE(f.admitted == rig.runs.size());
+      REQUIRE(f.threads_in_use == doctest::Approx(static_cast<double>(rig.runs.size())));
     }
     CHECK(rig.longest <= 3.05);
     rig.pass(60s, 50ms);
     CHECK(rig.waits.empty());
-    CHECK(rig.queues.figures().threads_in == 0);
+    CHECK(rig.queues.metrics().threads_in_use == 0);
   }
 }
 
@@ -347,15 +353,15 @@
   Rig rig(settings({0.5, 0.5}), 2);
   for (int i = 0; i < 200; ++i) rig.arrive(static_cast<std::size_t>(i) % 2, 0.1), rig.pass(10ms);
   const Snapshot kept = rig.queues.snapshot(rig.now);
-  REQUIRE(kept.waiting.size() > 10);
+  REQUIRE(kept.queued.size() > 10);
   Scheduler other(kStart + 500s, settings({0.5, 0.5}), 2);
-  other.cores(kStart + 500s, 2);
+  other.set_cores(kStart + 500s, 2);
   CHECK(other.restore(kStart + 500s, kept).empty());
   const Snapshot again = other.snapshot(kStart + 500s);
-  REQUIRE(again.waiting.size() == kept.waiting.size());
-  std::map<QueryId, Snapshot::Waits> by_query;
-  for (const auto& w : kept.waiting) by_query[w.query] = w;
-  for (const auto& w : again.waiting) {
+  REQUIRE(again.queued.size() == kept.queued.size());
+  std::map<QueryId, Snapshot::Request> by_query;
+  for (const auto& w : kept.queued) by_query[w.query] = w;
+  for (const auto& w : again.queued) {
     const auto& was = by_query.at(w.query);
     CHECK(w.team == was.team);
     CHECK(w.cost == was.cost);
@@ -365,9 +371,9 @@
   for (std::size_t i = 0; i < kept.balances.size(); ++i)
     CHECK(again.balances[i].budget == doctest::Approx(kept.balances[i].budget));
   Settings small = settings({0.5, 0.5});
-  small.waiting = 5;
+  small.max_queued = 5;
   Scheduler full(kStart, small, 2);
-  CHECK(full.restore(kStart, kept).size() == kept.waiting.size() - 5);
+  CHECK(full.restore(kStart, kept).size() == kept.queued.size() - 5);
 }
 
 TEST_CASE("a class that was never seen and estimates that are not told are taken on") {
@@ -375,54 +381,54 @@
   const QueryId q = rig.arrive(0, 0, 1);
   CHECK(rig.runs.count(q) == 1);
   Arrival a;
-  a.query = QueryId{77}, a.member = 99, a.cls = 1;
-  a.deadline = rig.now + 5s, a.wanted = rig.now + 2s;
-  const Quote quote = rig.queues.quote(rig.now, a);
-  CHECK((quote.wait >= Duration{}));
-  CHECK((quote.answer_most >= quote.answer));
+  a.query = QueryId{77}, a.tenant = 99, a.cls = 1;
+  a.deadline = rig.now + 5s, a.soft_deadline = rig.now + 2s;
+  const WaitEstimate estimate = rig.queues.estimate_wait(rig.now, a);
+  CHECK((estimate.wait >= Duration{}));
+  CHECK((estimate.response_p90 >= estimate.response));
 }
 
 // ---- bands
 
-Bands::Start start_of(const char* engine, unsigned wish) {
-  Bands::Start s;
-  s.engine = engine, s.wish = wish, s.usual = 1s, s.usual_most = 2s;
-  s.wanted = kStart + 1000s;
+EnginePriorities::Attempt attempt_of(const char* engine, unsigned requested) {
+  EnginePriorities::Attempt s;
+  s.engine = engine, s.requested = requested, s.expected_time = 1s, s.expected_time_p90 = 2s;
+  s.soft_deadline = kStart + 1000s;
   return s;
 }
 
 TEST_CASE("bands: one far past its usual time sinks for good, a load never, and the module's wish counts") {
-  Bands bands;
-  bands.configure(4, 100);
-  auto load = start_of("e", 1);
-  load.load = true;
-  CHECK(bands.start(kStart, QueryId{1}, start_of("e", 2)) == 2);
-  CHECK(bands.start(kStart, QueryId{2}, load) == 1);
-  CHECK_FALSE(bands.next(kStart + 3900ms));
-  const auto change = bands.next(kStart + 4200ms);
+  EnginePriorities priorities;
+  priorities.configure(4, 100);
+  auto load = attempt_of("e", 1);
+  load.is_load = true;
+  CHECK(priorities.on_attempt_started(kStart, QueryId{1}, attempt_of("e", 2)) == 2);
+  CHECK(priorities.on_attempt_started(kStart, QueryId{2}, load) == 1);
+  CHECK_FALSE(priorities.next_change(kStart + 3900ms));
+  const auto change = priorities.next_change(kStart + 4200ms);
   REQUIRE(change);
   CHECK(change->query == QueryId{1});
-  CHECK(change->band == 0);
-  CHECK_FALSE(bands.next(kStart + 4300ms));
-  CHECK_FALSE(bands.wish(kStart + 9s, QueryId{1}, 3));  // it stays down
-  CHECK(bands.wish(kStart + 9s, QueryId{2}, 3) == 3u);
-  CHECK(bands.sunk() == 1);
-  bands.end(QueryId{1});
-  CHECK_FALSE(bands.wish(kStart + 10s, QueryId{1}, 2));
+  CHECK(change->priority == 0);
+  CHECK_FALSE(priorities.next_change(kStart + 4300ms));
+  CHECK_FALSE(priorities.on_priority_requested(kStart + 9s, QueryId{1}, 3));  // it stays down
+  CHECK(priorities.on_priority_requested(kStart + 9s, QueryId{2}, 3) == 3u);
+  CHECK(priorities.demoted() == 1);
+  priorities.on_attempt_ended(QueryId{1});
+  CHECK_FALSE(priorities.on_priority_requested(kStart + 10s, QueryId{1}, 2));
 }
 
 TEST_CASE("bands: borrowed work gives way while others wait, and not before; no flapping") {
-  Bands bands;
-  bands.configure(100, 100);
-  auto start = start_of("e", 2);
+  EnginePriorities priorities;
+  priorities.configure(100, 100);
+  auto start = attempt_of("e", 2);
   start.borrowed = true;
-  CHECK(bands.start(kStart, QueryId{1}, start) == 2);
+  CHECK(priorities.on_attempt_started(kStart, QueryId{1}, start) == 2);
   std::vector<std::pair<double, unsigned>> told;
   for (int ms = 0; ms < 20'000; ms += 10) {
     const Time now = kStart + std::chrono::milliseconds(ms);
     // Others wait for the first half of each 400 ms, then from 10 s on nobody.
-    bands.waiting(now, ms < 10'000 && (ms < 4'000 || ms % 400 < 200));
-    while (const auto change = bands.next(now)) told.emplace_back(ms / 1000.0, change->band);
+    priorities.update_contention(now, ms < 10'000 && (ms < 4'000 || ms % 400 < 200));
+    while (const auto change = priorities.next_change(now)) told.emplace_back(ms / 1000.0, change->priority);
   }
   REQUIRE(told.size() == 2);
   CHECK(told[0].second == 1);
@@ -431,21 +437,22 @@
 }
 
 TEST_CASE("bands: messages to an engine keep their bound, and all is told in the end") {
-  Bands bands;
-  bands.configure(1.5, 10);
-  for (std::uint64_t i = 1; i <= 200; ++i) bands.start(kStart, QueryId{i}, start_of(i % 2 ? "e" : "f", 2));
+  EnginePriorities priorities;
+  priorities.configure(1.5, 10);
+  for (std::uint64_t i = 1; i <= 200; ++i)
+    priorities.on_attempt_started(kStart, QueryId{i}, attempt_of(i % 2 ? "e" : "f", 2));
   std::map<int, int> by_second;
   std::size_t all = 0;
   for (int ms = 0; ms < 60'000; ms += 10) {
-    while (const auto change = bands.next(kStart + std::chrono::milliseconds(ms))) {
+    while (const auto change = priorities.next_change(kStart + std::chrono::milliseconds(ms))) {
       ++by_second[ms / 1000], ++all;
-      CHECK(change->band == 0);
+      CHECK(change->priority == 0);
     }
   }
   for (const auto& [second, count] : by_second)
     CHECK(count <= 2 * 2 * 10);  // a bucket and a second's fill, two engines
   CHECK(all == 200);
-  CHECK(bands.told() == 200);
+  CHECK(priorities.changes_sent() == 200);
 }
 
 }  // namespace
