--- a/src/scheduler/budget_accounts.cpp
+++ b/src/scheduler/budget_accounts.cpp
@@ -7,12 +7,12 @@
 namespace yokestream::scheduler {
 namespace {
 
-constexpr double kBurstSeconds = 1.0;  // seconds' worth that floors and ceilings save up
+constexpr double kFloorCeilingBurstS = 1.0;  // largest balance of floor and ceiling accounts
 
 }  // namespace
 
 void BudgetAccounts::configure(Time now, const Settings& settings) {
-  const auto before = balances(now);
+  const auto previous = balances(now);
   period_s_ = seconds_of(settings.budget_period);
   overdue_share_ = settings.overdue_share;
   nodes_.clear();
@@ -32,10 +32,10 @@
   set_throughput(now, throughput_);
   for (Node& node : nodes_) {
     node.budget_balance = unscaled_rate(node) * budget_scale_ * period_s_ * node.burst_periods;
-    node.floor_balance = node.floor * throughput_ * kBurstSeconds;
-    node.ceiling_balance = node.ceiling * throughput_ * kBurstSeconds;
+    node.floor_balance = node.floor * throughput_ * kFloorCeilingBurstS;
+    node.ceiling_balance = node.ceiling * throughput_ * kFloorCeilingBurstS;
   }
-  restore(now, before);
+  restore(now, previous);
 }
 
 double BudgetAccounts::unscaled_rate(const Node& node) const {
@@ -64,20 +64,22 @@
   if (elapsed_s <= 0) return;
   refilled_at_ = now;
   for (Node& node : nodes_) {
-    const double budget = unscaled_rate(node) * budget_scale_,
-                 max_balance = budget * period_s_ * node.burst_periods;
+    const double budget_rate = unscaled_rate(node) * budget_scale_,
+                 max_balance = budget_rate * period_s_ * node.burst_periods;
     if (node.budget_balance < max_balance)
-      node.budget_balance = std::min(max_balance, node.budget_balance + budget * elapsed_s);
-    const double floor = node.floor * throughput_, ceiling = node.ceiling * throughput_;
-    node.floor_balance = std::min(floor * kBurstSeconds, node.floor_balance + floor * elapsed_s);
-    node.ceiling_balance = std::min(ceiling * kBurstSeconds, node.ceiling_balance + ceiling * elapsed_s);
+      node.budget_balance = std::min(max_balance, node.budget_balance + budget_rate * elapsed_s);
+    const double floor_rate = node.floor * throughput_, ceiling_rate = node.ceiling * throughput_;
+    node.floor_balance =
+        std::min(floor_rate * kFloorCeilingBurstS, node.floor_balance + floor_rate * elapsed_s);
+    node.ceiling_balance =
+        std::min(ceiling_rate * kFloorCeilingBurstS, node.ceiling_balance + ceiling_rate * elapsed_s);
   }
 }
 
 void BudgetAccounts::charge_node(Node& node, double cost) {
   const double max_debt = std::max(unscaled_rate(node) * budget_scale_ * period_s_, 0.0);
   node.budget_balance = std::max(node.budget_balance - cost, -max_debt);
-  node.floor_balance = std::max(node.floor_balance - cost, -node.floor * throughput_ * kBurstSeconds);
+  node.floor_balance = std::max(node.floor_balance - cost, -node.floor * throughput_ * kFloorCeilingBurstS);
   node.ceiling_balance -= cost;
 }
 
@@ -112,10 +114,10 @@
   for (const Balance& b : balances) {
     for (Node& node : nodes_) {
       if (node.name != b.name) continue;
-      const double budget = unscaled_rate(node) * budget_scale_ * period_s_;
-      node.budget_balance = std::clamp(b.budget, -budget, budget * node.burst_periods);
-      node.floor_balance = std::min(b.floor, node.floor * throughput_ * kBurstSeconds);
-      node.ceiling_balance = std::min(b.ceiling, node.ceiling * throughput_ * kBurstSeconds);
+      const double period_budget = unscaled_rate(node) * budget_scale_ * period_s_;
+      node.budget_balance = std::clamp(b.budget, -period_budget, period_budget * node.burst_periods);
+      node.floor_balance = std::min(b.floor, node.floor * throughput_ * kFloorCeilingBurstS);
+      node.ceiling_balance = std::min(b.ceiling, node.ceiling * throughput_ * kFloorCeilingBurstS);
     }
   }
 }
--- a/src/scheduler/budget_accounts.h
+++ b/src/scheduler/budget_accounts.h
@@ -1,16 +1,20 @@
-// What each team may use: budgets in engine-seconds, borrowing that is paid back, floors and ceilings.
+// Token-bucket accounts of each team and group: budgets in engine-seconds, with borrowing that is repaid, and
+// minimum (floor) and maximum (ceiling) shares of the engines.
 //
-// Each node (a team, or a group of teams) has three accounts that fill with time and are charged with what
-// goes: the budget (fills at budget a span, saves up a burst, falls into debt when the team borrows), the
-// floor and the ceiling (each filling at its part of what the engines finish). From them a standing:
-//   owed       the floor's account is not empty: before all others
-//   within     the budget's account is not empty
-//   borrowing  both are empty: only what nobody else asks for, until the debt is paid back
-//   barred     the ceiling's account is empty: nothing now
-// Debt is bounded by one span's budget, so a team that was lent to waits no longer than a span for its budget
-// to count again. Budgets that add up to more than the engines finish are all cut in proportion.
+// Each node (a team or a group of teams) has three accounts. They fill with time and are charged with the
+// cost of dispatched requests. The budget account fills at one budget per budget period, saves up a burst and
+// goes into debt when the team borrows. The floor and ceiling accounts fill at their fraction of the engines'
+// throughput. The balances give the node's status:
+//   below_floor    floor balance positive: served before all other statuses
+//   within_budget  budget balance positive
+//   borrowing      neither is positive: served only with capacity that no other team asks for, until the debt
+//                  is repaid
+//   at_ceiling     ceiling balance used up: not served now
+// Debt is limited to one period's budget, so after borrowing a team is back within its budget after one
+// period at most. If the budgets add up to more than the engines' throughput, all are scaled down in
+// proportion.
 //
-// Pure; memory: one record a node. One thread.
+// Pure. Memory: one record per node. Not thread-safe.
 #pragma once
 
 #include <string>
@@ -20,6 +24,7 @@
 
 namespace yokestream::scheduler {
 
+// In order of preference.
 enum class BudgetStatus { below_floor, within_budget, borrowing, at_ceiling };
 
 class BudgetAccounts {
@@ -31,31 +36,33 @@
 
   // Keeps the balances of nodes whose names stay. The first call fills all accounts.
   void configure(Time now, const Settings& settings);
-  void set_throughput(Time now, double throughput);  // what the engines finish, engine-seconds a second
+  void set_throughput(Time now, double throughput);  // of the engines, engine-seconds per second
 
   std::size_t size() const { return nodes_.size(); }
   std::size_t parent(std::size_t node) const { return nodes_[node].parent; }
   bool is_leaf(std::size_t node) const { return nodes_[node].is_leaf; }
-  void charge(Time now, std::size_t node, double cost);  // to it and its group; negative: paid back
-  BudgetStatus status(Time now, std::size_t node);       // of this node alone
-  double budget_rate(std::size_t node) const;            // engine-seconds a second that the budget gives it
-  // What is certain for it while all others ask too: the most of budget, floor and its part of the rescue.
+  // Charges the node and its group; a negative cost is a refund.
+  void charge(Time now, std::size_t node, double cost);
+  BudgetStatus status(Time now, std::size_t node);  // of this node alone, without its group
+  double budget_rate(std::size_t node) const;       // engine-seconds per second
+  // Engine-seconds per second that the node gets while all others compete: the largest of its budget, its
+  // floor and its part of the overdue share.
   double guaranteed_rate(std::size_t node) const;
   double weight(std::size_t node) const { return std::max(guaranteed_rate(node), 1e-6); }
-  double budget_balance(Time now, std::size_t node);  // balance
+  double budget_balance(Time now, std::size_t node);
   double ceiling_rate(std::size_t node) const { return nodes_[node].ceiling * throughput_; }
   std::vector<Balance> balances(Time now);
-  void restore(Time now, const std::vector<Balance>& balances);  // by name; unknown ones are left out
+  void restore(Time now, const std::vector<Balance>& balances);  // by name; unknown names are ignored
 
  private:
   struct Node {
     std::string name;
     std::size_t parent = kNoTeam;
     bool is_leaf = true;
-    double budget_s = -1, share = 0, burst_periods = 1, floor = 0, ceiling = 1;
+    double budget_s = -1, share = 0, burst_periods = 1, floor = 0, ceiling = 1;  // as in Team
     double budget_balance = 0, floor_balance = 0, ceiling_balance = 0;
   };
-  double unscaled_rate(const Node& node) const;  // budget a second, before all are cut
+  double unscaled_rate(const Node& node) const;  // budget rate before all budgets are scaled down
   void refill(Time now);
   void charge_node(Node& node, double cost);
 
--- a/src/scheduler/engine_priorities.cpp
+++ b/src/scheduler/engine_priorities.cpp
@@ -31,8 +31,8 @@
   return running.priority = target_priority(now, running);
 }
 
-// The module's word on a priority is its own to time; the bound on messages holds for it all the same: what
-// is over comes with a later look.
+// kMinChangeInterval does not apply to requested priorities, the limit on messages does: a change over the
+// limit is sent after a later scan.
 std::optional<unsigned> EnginePriorities::on_priority_requested(Time now, QueryId query, unsigned requested) {
   const auto it = running_.find(query);
   if (it == running_.end()) return std::nullopt;
@@ -77,7 +77,7 @@
         continue;
       pending_changes_.push_back({query, priority, running.demoted && !running.demotion_sent});
     }
-    // Taken from the back: who sinks goes first.
+    // Changes are taken from the back, so demotions are sent first.
     std::stable_partition(pending_changes_.begin(), pending_changes_.end(),
                           [](const Change& c) { return c.priority > 0; });
     std::erase_if(buckets_, [&](const auto& entry) {
@@ -89,7 +89,7 @@
     pending_changes_.pop_back();
     const auto it = running_.find(change.query);
     if (it == running_.end() || it->second.priority == change.priority) continue;
-    if (!take_message_token(now, it->second.attempt.engine)) continue;  // found again by the next look
+    if (!take_message_token(now, it->second.attempt.engine)) continue;  // the next scan finds it again
     it->second.priority = change.priority, it->second.changed_at = now;
     it->second.demotion_sent |= change.demotes;
     return change;
--- a/src/scheduler/request_queue.cpp
+++ b/src/scheduler/request_queue.cpp
@@ -5,9 +5,9 @@
 namespace yokestream::scheduler {
 
 Time due_time(Time arrived, unsigned level, Duration ageing_step, Time soft_deadline, Duration service_time) {
-  const unsigned below =
+  const unsigned levels_below_top =
       static_cast<unsigned>(kServiceLevels - 1) - std::min<unsigned>(level, kServiceLevels - 1);
-  return std::min(arrived + below * ageing_step, std::max(arrived, soft_deadline - service_time));
+  return std::min(arrived + levels_below_top * ageing_step, std::max(arrived, soft_deadline - service_time));
 }
 
 double aged_priority(Time now, Time due, Duration ageing_step) {
@@ -25,8 +25,8 @@
   return sum;
 }
 
-// The ring's seam lies half a ring before `due`, so that what has been due for long and what is due later
-// both fall on their side of it.
+// The ring wraps around half a ring before `due`, so that both long overdue slots and later slots are on the
+// correct side.
 double WorkByDueTime::before(Time due) const {
   const std::size_t end = slot(due), start = (end + kSlots / 2) % kSlots;
   const double sum =
@@ -34,15 +34,16 @@
   return std::max(0.0, sum);
 }
 
-RequestQueue::RequestQueue(std::size_t count, std::size_t entries, Duration horizon) : entries_(entries) {
-  free_refs_.reserve(entries);
-  for (std::size_t i = entries; i-- > 0;) free_refs_.push_back(static_cast<EntryRef>(i));
-  reset_teams(count, horizon);
+RequestQueue::RequestQueue(std::size_t teams, std::size_t max_entries, Duration horizon)
+    : entries_(max_entries) {
+  free_refs_.reserve(max_entries);
+  for (std::size_t i = max_entries; i-- > 0;) free_refs_.push_back(static_cast<EntryRef>(i));
+  reset_teams(teams, horizon);
 }
 
-void RequestQueue::reset_teams(std::size_t count, Duration horizon) {
+void RequestQueue::reset_teams(std::size_t teams, Duration horizon) {
   team_queues_.clear();
-  for (std::size_t i = 0; i < count; ++i) team_queues_.emplace_back(&pool_, horizon);
+  for (std::size_t i = 0; i < teams; ++i) team_queues_.emplace_back(&pool_, horizon);
 }
 
 double RequestQueue::work_before(std::size_t team, Time due) const {
--- a/src/scheduler/request_queue.h
+++ b/src/scheduler/request_queue.h
@@ -1,19 +1,20 @@
-// What waits, by team, in the order of virtual due times.
+// Queued requests, by team, in the order of their due times.
 //
-// Ageing. A request that arrives at a, of service level l (0 to 3), wanted by w and needing s, is due at
-//   due = min(a + (3 - l) x age, max(a, w - s))
-// and its priority at a time t is P(t) = (t - due) / age: it rises with waiting by one level an `age`, and it
-// is the higher the nearer its wanted time is. All priorities rise at the same slope, so the order of two
+// Ageing. A request that arrives at time a with service level l (0 to 3), soft deadline d and expected
+// service time s is due at
+//   due = min(a + (3 - l) * ageing_step, max(a, d - s))
+// and its priority at time t is (t - due) / ageing_step. It rises by one level per ageing step of waiting and
+// is higher the nearer the soft deadline is. All priorities rise at the same rate, so the order of two
 // requests never changes while they wait, and the order by due time is the order by priority.
 //
-// No starvation within a team. Who arrives after a request's due time is due later than it: whatever comes,
-// only what arrived before `due` can go before it. So it waits no longer than (due - a) plus the time in
-// which its team is served what waited then: 3 ages + W / g, W the work of the team that waits at most, g
-// what is certain for the team (accounts.h).
+// No starvation within a team. A request that arrives after another one's due time is due later than that, so
+// only requests that arrived before `due` can go before it. Its wait is at most (due - a) plus the time to
+// serve what the team had queued then: 3 ageing steps + W / g, where W is the team's largest queued work and
+// g its guaranteed rate (budget_accounts.h).
 //
-// Entries lie in one slab; sums of work by due time in rings of slots (Fenwick trees), so that the work
-// before a newcomer is known without walking. Memory: kEntryBytes an entry that may wait, kSlots sums a team.
-// Pure.
+// Entries are kept in one preallocated array. Fenwick trees over rings of time slots hold the sums of work by
+// due time, so that the work ahead of a new request is known without a pass over the queue. Memory:
+// kEntryBytes per entry, kSlots sums per team. Pure.
 #pragma once
 
 #include <algorithm>
@@ -33,23 +34,22 @@
   QueryId query{};
   std::uint32_t team = 0, cls = 0, tenant = 0;
   double estimated_work_s = 0, cost = 0, threads = 1;
-  Time arrived{}, due{}, expires{};                 // until: it has to go by then
-  double estimated_wait_s = 0, raw_forecast_s = 0;  // its wait, seconds: median, and before correction
+  Time arrived{}, due{}, expires{};                 // rejected if still queued when it expires
+  double estimated_wait_s = 0, raw_forecast_s = 0;  // median wait after and before bias correction
 };
 
 Time due_time(Time arrived, unsigned level, Duration ageing_step, Time soft_deadline, Duration service_time);
-double aged_priority(Time now, Time due, Duration ageing_step);  // of what waits: see above
+double aged_priority(Time now, Time due, Duration ageing_step);
 
-// Sums by due time, over a ring of slots.
+// Sums of work by due time, over a ring of time slots.
 class WorkByDueTime {
  public:
   static constexpr std::size_t kSlots = 4096;
-  // A slot's width, at least: all that waits is due within `reach` of all that may be asked for.
+  // `horizon`: the largest distance between any two due times that are queued or asked for.
   explicit WorkByDueTime(Duration horizon)
       : slot_width_(std::max<Duration>(kMinSlotWidth, 2 * horizon / (kSlots - 2))) {}
   void add(Time due, double work);
-  // Of what is due before. Exact to a slot's work.
-  double before(Time due) const;
+  double before(Time due) const;  // work due earlier; accurate to the work of one slot
   double total() const { return total_; }
   Duration slot_width() const { return slot_width_; }
 
@@ -68,22 +68,21 @@
  public:
   static constexpr std::size_t kEntryBytes = sizeof(Entry) + 2 * 64;
 
-  // `reach`: the most time between two due times of what waits or is asked for.
+  // `horizon`: as in WorkByDueTime.
   RequestQueue(std::size_t teams, std::size_t max_entries, Duration horizon);
-  void reset_teams(std::size_t teams, Duration horizon);  // while nothing waits
+  void reset_teams(std::size_t teams, Duration horizon);  // only while the queue is empty
 
   bool full() const { return free_refs_.empty(); }
   std::size_t size() const { return entries_.size() - free_refs_.size(); }
   std::size_t count(std::size_t team) const { return team_queues_[team].by_due.size(); }
   double work(std::size_t team) const { return team_queues_[team].work.total(); }
-  // Work that goes before one of the team that is due then.
-  double work_before(std::size_t team, Time due) const;
-  EntryRef push(const Entry& entry);  // not while full()
+  double work_before(std::size_t team, Time due) const;  // of the team's requests due earlier
+  EntryRef push(const Entry& entry);                     // only if not full()
   Entry remove(EntryRef ref);
   const Entry& at(EntryRef ref) const { return entries_[ref]; }
-  std::optional<EntryRef> head(std::size_t team) const;  // due first
-  std::optional<EntryRef> next_to_expire() const;        // whose `until` is first
-  std::vector<Entry> all() const;                        // in no order
+  std::optional<EntryRef> head(std::size_t team) const;  // the team's entry that is due first
+  std::optional<EntryRef> next_to_expire() const;
+  std::vector<Entry> all() const;
 
  private:
   using Order = std::pmr::set<std::pair<Time, EntryRef>>;
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -9,37 +9,34 @@
 namespace yokestream::scheduler {
 namespace {
 
-constexpr Duration kPollInterval = std::chrono::milliseconds(100);      // while somebody waits, accounts fill
-constexpr Duration kThroughputWindow = std::chrono::milliseconds(500);  // over which the pace is measured
-constexpr double kThroughputWindowWeight = 0.02;                        // of a window
-constexpr double kUrgentFraction = 0.5;  // times the usual time from arrival to due
-constexpr double kArrivalWeight = 0.02;  // of a request
-constexpr int kRestoredWindows = 4;      // what a pace counts for that was taken over
-constexpr double kDeviationFactor =
-    1.6;  // a window's rate over the pace, or under it, that says that it changed
-constexpr int kMaxDeviatingWindows = 6;        // so many in a row
-constexpr double kArrivalTimeConstantS = 1.5;  // seconds that arrivals are smoothed over
-constexpr double kNonBorrowingReserve = 0.1;   // of the bound, free of borrowed work
+constexpr Duration kPollInterval = std::chrono::milliseconds(100);  // balances grow while requests wait
+constexpr Duration kThroughputWindow = std::chrono::milliseconds(500);
+constexpr double kThroughputWindowWeight = 0.02;  // of one window in the moving average
+constexpr double kUrgentFraction = 0.5;           // of the usual time to the soft deadline
+constexpr double kArrivalWeight = 0.02;           // of one request in the moving averages
+constexpr int kRestoredWindows = 4;               // that a restored throughput counts for
+constexpr double kDeviationFactor = 1.6;          // a window outside this ratio deviates
+constexpr int kMaxDeviatingWindows = 6;           // in a row, to one side
+constexpr double kArrivalTimeConstantS = 1.5;
+constexpr double kNonBorrowingReserve = 0.1;  // of the concurrency limit
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(50);
-constexpr double kRetryAfterJitter = 0.25;      // so that not all come back at one moment
-constexpr double kDemotedThreadShare = 0.4;     // of its room, by a query that has sunk
-constexpr double kMinThroughputPerCore = 0.02;  // of the cores
-constexpr double kMaxForecastS = 600;           // seconds
-
-// The wait that came is known a wait later: corrected at once and in full, forecasts swing. So small errors
-// are left alone, and of a larger one only what is over that is taken off, by a median of many requests.
-constexpr double kErrorDeadBand = 0.3;  // of the logarithm
+constexpr double kRetryAfterJitter = 0.25;   // spreads out the retries
+constexpr double kDemotedThreadShare = 0.4;  // of its threads
+constexpr double kMinThroughputPerCore = 0.02;
+constexpr double kMaxForecastS = 600;
+
+// An error is known only after the wait, so correcting it immediately and in full makes forecasts oscillate.
+// Small errors are ignored; of a larger median error over many requests, only the excess is corrected.
+constexpr double kLogErrorDeadBand = 0.3;
 double bias_correction(double actual_over_forecast) {
   const double error = std::log(actual_over_forecast);
-  return std::exp(std::copysign(std::max(0.0, std::abs(error) - kErrorDeadBand), error));
+  return std::exp(std::copysign(std::max(0.0, std::abs(error) - kLogErrorDeadBand), error));
 }
 
 std::size_t forecast_bucket(double forecast) { return forecast < 0.25 ? 0 : forecast < 1 ? 1 : 2; }
 
-// What waits is due between the longest wait ago and three ages from now.
-Duration due_horizon(const Settings& settings) {
-  return settings.max_wait + kServiceLevels * settings.ageing_step;
-}
+// Queued requests are due between `max_wait` ago and three ageing steps from now.
+Duration due_horizon(const Settings& s) { return s.max_wait + kServiceLevels * s.ageing_step; }
 
 }  // namespace
 
@@ -83,26 +80,25 @@
 
 void Scheduler::configure(Time now, const Settings& settings) {
   Snapshot kept = snapshot(now);
-  std::unordered_map<QueryId, Queued> before_queued = std::move(queued_);
-  for (const Entry& entry : queue_.all()) queue_.remove(before_queued.at(entry.query).ref);
+  std::unordered_map<QueryId, Queued> old_queued = std::move(queued_);
+  for (const Entry& entry : queue_.all()) queue_.remove(old_queued.at(entry.query).ref);
   queued_.clear();
   const std::size_t max_queued = settings_.max_queued;
   const auto& teams = settings_.teams;
   const bool same = std::equal(teams.begin(), teams.end(), settings.teams.begin(), settings.teams.end(),
                                [](const Team& a, const Team& b) { return a.name == b.name; });
-  settings_ = settings;
-  settings_.max_queued = max_queued;  // made at the start
-  std::vector<TeamState> before = std::move(teams_);
+  settings_ = settings, settings_.max_queued = max_queued;  // memory is allocated once
+  std::vector<TeamState> previous = std::move(teams_);
   rebuild_teams(now);
   queue_.reset_teams(settings_.teams.size(), due_horizon(settings_));
   if (same)
-    teams_ = std::move(before);
+    teams_ = std::move(previous);
   else
     service_times_ = ServiceTimes(settings_.teams.size(), classes_);
   for (auto& [query, request] : admitted_) request.team = team_of(request.tenant);
   restore(now, kept);
   for (auto& [query, queued] : queued_) {
-    if (const auto it = before_queued.find(query); it != before_queued.end())
+    if (const auto it = old_queued.find(query); it != old_queued.end())
       queued.soft_deadline = it->second.soft_deadline, queued.is_load = it->second.is_load;
   }
 }
@@ -134,8 +130,7 @@
 
 void Scheduler::add_arrival(Time now, std::size_t team, std::size_t cls, double cost) {
   const double smoothed = arrival_rate(now, team, cls) + cost / kArrivalTimeConstantS;
-  teams_[team].arrival_rate[cls] = smoothed;
-  teams_[team].arrival_rate_at[cls] = now;
+  teams_[team].arrival_rate[cls] = smoothed, teams_[team].arrival_rate_at[cls] = now;
 }
 
 void Scheduler::fill_fluid_queues(Time now) {
@@ -144,7 +139,7 @@
     FluidQueue queue;
     queue.work = queue_.work(i);
     for (std::size_t cls = 0; cls < classes_; ++cls) queue.arrival_rate += arrival_rate(now, i, cls);
-    queue.arrival_rate = std::min(queue.arrival_rate, throughput_);  // more is not let in
+    queue.arrival_rate = std::min(queue.arrival_rate, throughput_);  // more is not admitted
     queue.weight = accounts_.weight(i);
     queue.budget_balance = accounts_.budget_balance(now, i);
     queue.budget_rate = accounts_.budget_rate(i);
@@ -154,8 +149,8 @@
   }
 }
 
-// Seconds until one of the team that is due then goes. Who arrives meanwhile and is due earlier goes before
-// it: that much is added to what is ahead, which depends on the wait; two rounds settle it.
+// Requests that arrive during the wait and are due earlier are added to the work ahead. Their number depends
+// on the wait, so the forecast is iterated; two rounds suffice.
 double Scheduler::forecast_wait_s(Time now, std::size_t team, Time due) {
   const double ahead = queue_.work_before(team, due);
   fill_fluid_queues(now);
@@ -169,14 +164,13 @@
     wait = drain_time(fluid_scratch_, team, ahead + more, throughput_, kMaxForecastS);
     if (round == 0 && wait == 0) break;
   }
-  // Once overdue it has the team's turns of what is kept for the overdue.
+  // Once overdue, the request is also served from the team's part of the overdue share.
   const double overdue_rate =
       settings_.overdue_share * throughput_ / static_cast<double>(1 + other_overdue_teams(now, team));
   if (overdue_rate <= 0) return wait;
   return std::min(wait, seconds_of(due - now + settings_.ageing_step) + ahead / overdue_rate);
 }
 
-// Teams other than this one whose first request is overdue.
 std::size_t Scheduler::other_overdue_teams(Time now, std::size_t team) const {
   std::size_t count = 0;
   for (std::size_t i = 0; i < teams_.size(); ++i) {
@@ -200,12 +194,12 @@
   const double unloaded_s = e.typical_cost / std::max(1.0, arrival.threads);
   const double slowdown_p90 = service_times_.slowdown(e.team, arrival.cls, 0.9);
   const double slowdown = service_times_.slowdown(e.team, arrival.cls, 0.5);
-  // What can wait has no wanted time, only its deadline.
+  // Requests of service level 0 have no soft deadline.
   const bool can_wait = level(e.team, arrival.cls) == 0;
   const Time soft_deadline = can_wait ? Time::max() : arrival.soft_deadline;
   const Duration service_time = from_seconds(unloaded_s * slowdown);
-  // Requests of a class keep their order, but for one that is much nearer to its wanted time than usual: else
-  // whoever is due a little earlier is quoted a little less, is let in for that, and pushes back the others.
+  // Requests of a class keep their order, unless a soft deadline is much nearer than usual: otherwise those
+  // due slightly earlier would get shorter estimates, be admitted for that, and delay the others.
   e.to_due = seconds_of(
       due_time(now, level(e.team, arrival.cls), settings_.ageing_step, soft_deadline, service_time) - now);
   const double class_to_due = teams_[e.team].to_due[arrival.cls];
@@ -222,8 +216,7 @@
     const Distribution& forecast_errors = teams_[e.team].forecast_errors[forecast_bucket(e.raw_forecast_s)];
     const double median_s = e.raw_forecast_s * bias_correction(forecast_errors.quantile(0.5, 1)),
                  p90_s = e.raw_forecast_s * forecast_errors.quantile(0.9, 1.25);
-    e.wait.wait = from_seconds(median_s);
-    e.wait.wait_p90 = from_seconds(std::max(median_s, p90_s));
+    e.wait.wait = from_seconds(median_s), e.wait.wait_p90 = from_seconds(std::max(median_s, p90_s));
   }
   e.wait.response = e.wait.wait + from_seconds(unloaded_s * slowdown);
   e.wait.response_p90 = e.wait.wait_p90 + from_seconds(unloaded_s * std::max(slowdown, slowdown_p90));
@@ -235,16 +228,11 @@
   return estimate(now, arrival, queue_.count(team) == 0 && has_capacity(now, team)).wait;
 }
 
-double Scheduler::typical_cost(const Admitted& request) const {
-  return cost_.charge(request.tenant, request.cls, request.estimated_work_s);
-}
-
 void Scheduler::admit(Time now, QueryId query, const Admitted& request, bool overdue) {
   threads_in_use_ += request.threads;
   if (queue_.size() > 0) window_cost_ += request.cost;
   Admitted& stored = admitted_[query] = request;
-  stored.threads_held = request.threads;
-  stored.typical_cost = typical_cost(request);
+  stored.threads_held = request.threads, stored.typical_cost = typical_cost(request);
   accounts_.charge(now, request.team, request.cost);
   selector_.on_dispatched(now, {request.team, overdue}, request.cost, accounts_);
 }
@@ -302,9 +290,9 @@
   return {Decision::queue, {}, e.typical_cost, e.wait};
 }
 
-// What goes while somebody waits all the time says what engines take; else only what was asked for. A mean
-// over many windows, as quotes are only as good as it is steady; but of few where it is new, where engines
-// came or went, and where several windows in a row were off to one side.
+// The cost dispatched during a window in which requests always wait is what the engines can take; otherwise
+// only what was offered. A mean over many windows keeps estimates steady; over few after a start, a change of
+// engines, or several windows in a row that deviate to one side.
 void Scheduler::update_throughput(Time now) {
   if (now - window_start_ < kThroughputWindow) return;
   const double rate = window_cost_ / seconds_of(now - window_start_);
@@ -345,21 +333,21 @@
     e.wait.wait = from_seconds(forecast_wait_s(now, entry.team, entry.due));
     return QueueVerdict{entry.query, reject(e, {}, entry.query)};
   }
-  const TeamSelector::Selection chosen = selector_.select(
+  const TeamSelector::Selection selection = selector_.select(
       now, queue_, accounts_, settings_.ageing_step, [&](std::size_t t) { return has_capacity(now, t); });
-  const std::size_t team = chosen.team;
+  const std::size_t team = selection.team;
   if (team == kNoTeam) return std::nullopt;
   const EntryRef ref = *queue_.head(team);
   const Entry entry = queue_.remove(ref);
   const Queued queued = queued_.at(entry.query);
   queued_.erase(entry.query);
-  metrics_.dispatched_overdue += chosen.overdue;
+  metrics_.dispatched_overdue += selection.overdue;
   Admitted request{team, entry.tenant,         entry.cls, entry.estimated_work_s, entry.cost, entry.threads,
                    now,  queued.soft_deadline, false,     queued.is_load};
   request.borrowed = accounts_.status(now, team) == BudgetStatus::borrowing;
   record_wait(now, entry);
   if (queue_.size() == 0) window_cost_ += request.cost;
-  admit(now, entry.query, request, chosen.overdue);
+  admit(now, entry.query, request, selection.overdue);
   update_throughput(now);
   return QueueVerdict{entry.query, {Decision::admit, {}, typical_cost(request), {}}};
 }
@@ -377,8 +365,8 @@
   priorities_.on_attempt_ended(query);
   threads_in_use_ = admitted_.empty() ? 0 : threads_in_use_ - request.threads_held;
   cost_.learn(request.tenant, request.cls, request.estimated_work_s, outcome.real);
-  // Charged was what its kind costs on the mean, bad plans counted in, so that one bad plan does not hold up
-  // its team; what it really cost goes into that mean. Only what never ran gets it back.
+  // The team was charged its class's mean cost, bad plans included, so that one bad plan does not block it.
+  // The actual cost goes into that mean. Only requests that never ran are refunded.
   if (outcome.real > 0) {
     teams_[request.team].mean_cost_ratio[request.cls].add(request.typical_cost, outcome.real);
   } else if (!outcome.ran) {
@@ -388,7 +376,7 @@
   if (outcome.served() && request.typical_cost > 0)
     service_times_.add(request.team, request.cls,
                        seconds_of(outcome.took) * request.threads / request.typical_cost);
-  if (outcome.refused) window_cost_ -= request.cost;  // it took nothing of what engines do
+  if (outcome.refused) window_cost_ -= request.cost;  // no engine worked on it
   capacity_.over(now, request.cls, request.threads, request.cost, outcome, queue_.size() > 0);
 }
 
@@ -398,20 +386,17 @@
   if (it == admitted_.end()) return priority;
   const Admitted& request = it->second;
   EnginePriorities::Attempt attempt;
-  attempt.engine = engine;
-  attempt.requested = priority;
-  attempt.level = level(request.team, request.cls);
-  attempt.borrowed = request.borrowed;
-  attempt.is_load = request.is_load;
+  attempt.engine = engine, attempt.requested = priority;
+  attempt.level = level(request.team, request.cls), attempt.soft_deadline = request.soft_deadline;
+  attempt.borrowed = request.borrowed, attempt.is_load = request.is_load;
   const double unloaded_s = request.typical_cost / std::max(1.0, request.threads);
   attempt.expected_time = from_seconds(unloaded_s * service_times_.slowdown(request.team, request.cls, 0.5));
   attempt.expected_time_p90 =
       from_seconds(unloaded_s * service_times_.slowdown(request.team, request.cls, 0.9));
-  attempt.soft_deadline = request.soft_deadline;
   return priorities_.on_attempt_started(now, query, attempt);
 }
 
-// One that sinks keeps little of its engine, and gives back the room that it no longer takes.
+// A demoted query uses little of its engine, so it releases part of the threads that it holds.
 std::optional<EnginePriorities::Change> Scheduler::next_priority_change(Time now) {
   const auto change = priorities_.next_change(now);
   if (!change || !change->demotes) return change;
@@ -423,13 +408,9 @@
 
 Metrics Scheduler::metrics() const {
   Metrics out = metrics_;
-  out.waiting = queue_.size();
-  out.admitted = admitted_.size();
-  out.demoted = priorities_.demoted();
-  out.priority_changes = priorities_.changes_sent();
-  out.throughput = throughput_;
-  out.concurrency_limit = capacity_.bound();
-  out.threads_in_use = threads_in_use_;
+  out.waiting = queue_.size(), out.admitted = admitted_.size(), out.demoted = priorities_.demoted();
+  out.priority_changes = priorities_.changes_sent(), out.concurrency_limit = capacity_.bound();
+  out.throughput = throughput_, out.threads_in_use = threads_in_use_;
   return out;
 }
 
--- a/src/scheduler/service_times.cpp
+++ b/src/scheduler/service_times.cpp
@@ -23,21 +23,20 @@
 
 double Distribution::quantile(double fraction, double fallback) const {
   if (count_ < kMinSamples) return fallback;
-  double left = fraction * count_;
+  double remaining = fraction * count_;
   const Axis& axis = histogram_.axis();
   for (int i = 0; i < kBins; ++i) {
-    const double here = histogram_.at(i);
-    if (here > 0 && left <= here) return axis.value(i + left / here);  // log-linear within the bin
-    left -= here;
+    const double in_bin = histogram_.at(i);
+    if (in_bin > 0 && remaining <= in_bin)
+      return axis.value(i + remaining / in_bin);  // log-linear within the bin
+    remaining -= in_bin;
   }
   return max_value_;
 }
 
 namespace {
 constexpr double kMinSlowdown = 0.05, kMaxSlowdown = 200;
-double default_slowdown(double fraction) {
-  return fraction <= 0.5 ? 1.0 : 3.0;
-}  // nobody has shown anything yet
+double default_slowdown(double fraction) { return fraction <= 0.5 ? 1.0 : 3.0; }  // without samples
 }  // namespace
 
 ServiceTimes::ServiceTimes(std::size_t teams, std::size_t classes)
--- a/src/scheduler/service_times.h
+++ b/src/scheduler/service_times.h
@@ -1,7 +1,6 @@
-// Learnt distributions: how long requests of a class and team take from release to answer, in times of their
-// unloaded time, and how quoted waits compare with those that came. Histograms on a log axis
-// (Boost.Histogram) that forget: at `full` outcomes all counts are halved. Pure; memory: kBins floats a
-// distribution.
+// Learned distributions of slowdowns: the time from dispatch to response over the unloaded run time, by team
+// and class. Also used for forecast errors. Histograms on a log axis (Boost.Histogram) that forget old
+// samples: at `max_count` samples all counts are halved. Pure. Memory: kBins floats per distribution.
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -13,13 +12,13 @@
 class Distribution {
  public:
   static constexpr int kBins = 60;
+  static constexpr double kMinSamples = 8;
 
   Distribution(double min_value, double max_value, double max_count = 400);
   void add(double value);
   double count() const { return count_; }
-  // `otherwise` until `kFew` outcomes are known.
+  // Returns `fallback` until there are kMinSamples samples.
   double quantile(double fraction, double fallback) const;
-  static constexpr double kMinSamples = 8;
 
  private:
   using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
@@ -30,12 +29,11 @@
   double count_ = 0;
 };
 
-// By team and class; what a team has not shown yet is taken from all teams, what nobody has shown from a
-// guess.
+// Falls back from a team's own samples of a class to those of all teams, then to a fixed default.
 class ServiceTimes {
  public:
   ServiceTimes(std::size_t teams, std::size_t classes);
-  void add(std::size_t team, std::size_t cls, double slowdown);  // time taken over unloaded time
+  void add(std::size_t team, std::size_t cls, double slowdown);
   double slowdown(std::size_t team, std::size_t cls, double fraction) const;
 
  private:
--- a/src/scheduler/team_selector.cpp
+++ b/src/scheduler/team_selector.cpp
@@ -34,7 +34,7 @@
     }
     if (best) return {best->team, true};
   }
-  // A team in a group stands for it: by the group's standing and tag first, then by its own.
+  // A team in a group is ranked by the group's status and virtual time first, then by its own.
   const auto rank = [this](const Candidate& c) {
     const bool in_group = c.parent != kNoTeam;
     return std::tuple(in_group ? c.group_status : c.status,
@@ -53,20 +53,21 @@
   TeamState& own = states_[team];
   const std::size_t top = accounts.parent(team) == kNoTeam ? team : accounts.parent(team);
   if (selection.overdue) overdue_balance_ -= cost, own.overdue_served_at = now;
-  // Who was empty starts at the time that has been reached, so nobody saves up.
+  // An idle team starts at the current virtual time, so that it does not accumulate credit.
   states_[top].virtual_time = std::max(states_[top].virtual_time, virtual_time_);
   virtual_time_ = std::max(virtual_time_, states_[top].virtual_time);
   states_[top].virtual_time += cost / accounts.weight(top);
   if (top == team) return;
-  double least = 0;  // the group's own time: what its other teams have reached
+  double min_sibling_time = 0;  // smallest virtual time of the group's other teams
   bool first = true;
   for (std::size_t i = 0; i < states_.size(); ++i) {
     if (accounts.parent(i) != top || i == team) continue;
-    least = first ? states_[i].virtual_time : std::min(least, states_[i].virtual_time), first = false;
+    min_sibling_time = first ? states_[i].virtual_time : std::min(min_sibling_time, states_[i].virtual_time),
+    first = false;
   }
-  own.virtual_time =
-      std::max(own.virtual_time, first ? own.virtual_time : std::min(least, own.virtual_time + 1)) +
-      cost / accounts.weight(team);
+  own.virtual_time = std::max(own.virtual_time,
+                              first ? own.virtual_time : std::min(min_sibling_time, own.virtual_time + 1)) +
+                     cost / accounts.weight(team);
 }
 
 void TeamSelector::adjust(std::size_t team, double cost, const BudgetAccounts& accounts) {
--- a/src/scheduler/team_selector.h
+++ b/src/scheduler/team_selector.h
@@ -1,14 +1,17 @@
-// Which team's head goes next.
+// Selects the team whose first queued request is dispatched next.
 //
-//  1. Overdue. A head that has been due for more than one `age` is overdue. Overdue teams take turns, the one
-//     that was rescued longest ago first, out of an account of their own that fills at `rescue` of what the
-//     engines finish: so the lowest gets on under any load, and a crowd of overdue ones takes no more than
-//     that part from teams within their budgets.
-//  2. Else by standing (owed, within, borrowing; barred ones not at all), among equals by virtual time (SFQ):
-//     a team's tag moves on by cost over weight, the lowest goes, who was empty starts where all are.
-// Groups are chosen among the top nodes first, then the team within the group, by the same rule.
+//  1. Starvation guard. A request is overdue once more than one ageing step has passed since its due time.
+//     Teams whose first request is overdue take turns, the least recently served one first. They are served
+//     from an account of their own, which fills at the overdue share of the engines' throughput: the lowest
+//     team makes progress under any load, and many overdue teams together take no more than this share from
+//     teams within their budgets.
+//  2. Otherwise by budget status (below_floor, within_budget, borrowing; never at_ceiling) and, within one
+//     status, by start-time fair queueing (SFQ): the team with the lowest virtual time is next, and its
+//     virtual time advances by cost over weight. A team that was idle starts at the current virtual time.
+// Groups and teams without a group are compared first, then the teams within the selected group, by the same
+// rule.
 //
-// Choosing costs one pass over the teams. Pure; memory: one record a team.
+// Selecting costs one pass over the teams. Pure. Memory: one record per team.
 #pragma once
 
 #include <vector>
@@ -21,13 +24,13 @@
 class TeamSelector {
  public:
   void reset_teams(Time now, std::size_t count);
-  void set_overdue_rate(Time now, double overdue_rate);
+  void set_overdue_rate(Time now, double overdue_rate);  // engine-seconds per second
 
   struct Selection {
     std::size_t team = kNoTeam;
-    bool overdue = false;  // it goes for being overdue
+    bool overdue = false;  // selected by the starvation guard
   };
-  // The team whose head goes next, kNone: none may. `may(team)`: is there room for it?
+  // kNoTeam: no team may be served. `has_capacity(team)`: may the team's first request be dispatched?
   template <class HasCapacity>
   Selection select(Time now, const RequestQueue& queue, BudgetAccounts& accounts, Duration ageing_step,
                    HasCapacity has_capacity) {
@@ -44,6 +47,7 @@
     return select_candidate(now, ageing_step);
   }
   void on_dispatched(Time now, Selection selection, double cost, const BudgetAccounts& accounts);
+  // Corrects the virtual time by a difference in cost.
   void adjust(std::size_t team, double cost, const BudgetAccounts& accounts);
 
  private:
@@ -61,7 +65,7 @@
   void refill(Time now);
 
   std::vector<TeamState> states_;
-  std::vector<Candidate> candidates_;  // kept for its memory
+  std::vector<Candidate> candidates_;  // reused, so that selecting does not allocate
   double virtual_time_ = 0, overdue_rate_ = 0, overdue_balance_ = 0;
   Time refilled_at_{};
 };
--- a/src/scheduler/wait_estimate.h
+++ b/src/scheduler/wait_estimate.h
@@ -1,11 +1,11 @@
-// How long a request will wait and take, as told to who asks.
 #pragma once
 
 #include "yokestream/policy/admission_controller.h"
 
 namespace yokestream::scheduler {
 
-// From now: until it goes to an engine, and until its answer comes; the median, and what nine in ten keep.
+// Estimates that clients receive as a quote, counted from now: the time until the request goes to an engine
+// and the time until its response. The p90 fields are the 90th percentile, the others the median.
 struct WaitEstimate {
   policy::Duration wait{}, wait_p90{}, response{}, response_p90{};
 };
--- a/src/scheduler/wait_forecast.cpp
+++ b/src/scheduler/wait_forecast.cpp
@@ -8,24 +8,24 @@
 
 constexpr int kMaxSteps = 48;
 constexpr double kEpsilon = 1e-9;
-constexpr double kMinStepS = 1e-3;  // seconds: budgets that hover round nothing are not walked drop by drop
+constexpr double kMinStepS = 1e-3;  // a budget balance near zero would cause many tiny steps
 
-// What each gets now, a second.
+// Divides the throughput among the teams by their status, weight and limits.
 void allocate(const std::vector<FluidQueue>& queues, double throughput, std::vector<double>& rates) {
-  const auto wants = [&](std::size_t i) {
+  const auto demand = [&](std::size_t i) {
     const FluidQueue& queue = queues[i];
     return std::min(queue.ceiling_rate, queue.work > kEpsilon ? 1e12 : queue.arrival_rate);
   };
   std::fill(rates.begin(), rates.end(), 0.0);
   for (std::size_t i = 0; i < queues.size(); ++i) {
-    rates[i] = std::min({wants(i), queues[i].floor_rate, throughput});
+    rates[i] = std::min({demand(i), queues[i].floor_rate, throughput});
     throughput -= rates[i];
   }
   for (const bool within_budget : {true, false}) {
-    // Within its budget: all that it wants, or what fills the budget where nothing is left of it.
+    // Within budget: all demand, or the budget rate if the balance is zero.
     const auto max_rate = [&](std::size_t i) {
-      if (!within_budget || queues[i].budget_balance > 0) return wants(i);
-      return queues[i].budget_balance < 0 ? 0.0 : std::min(wants(i), queues[i].budget_rate);
+      if (!within_budget || queues[i].budget_balance > 0) return demand(i);
+      return queues[i].budget_balance < 0 ? 0.0 : std::min(demand(i), queues[i].budget_rate);
     };
     for (std::size_t round = 0; round <= queues.size() && throughput > kEpsilon; ++round) {
       double weights = 0;
@@ -56,9 +56,12 @@
     double step_s = max_time - elapsed;
     if (rates[team] > 0) step_s = std::min(step_s, work_ahead / rates[team]);
     for (std::size_t i = 0; i < queues.size(); ++i) {
-      const double falls = rates[i] - queues[i].arrival_rate, spends = rates[i] - queues[i].budget_rate;
-      if (queues[i].work > kEpsilon && falls > kEpsilon) step_s = std::min(step_s, queues[i].work / falls);
-      if (queues[i].budget_balance * spends > 0) step_s = std::min(step_s, queues[i].budget_balance / spends);
+      const double drain_rate = rates[i] - queues[i].arrival_rate,
+                   spend_rate = rates[i] - queues[i].budget_rate;
+      if (queues[i].work > kEpsilon && drain_rate > kEpsilon)
+        step_s = std::min(step_s, queues[i].work / drain_rate);
+      if (queues[i].budget_balance * spend_rate > 0)
+        step_s = std::min(step_s, queues[i].budget_balance / spend_rate);
     }
     step_s = std::min(max_time - elapsed,
                       std::max(step_s, std::min(kMinStepS, work_ahead / std::max(rates[team], kEpsilon))));
@@ -70,7 +73,7 @@
       queue.work = std::max(0.0, queue.work + (queue.arrival_rate - rates[i]) * step_s);
       queue.budget_balance += (queue.budget_rate - rates[i]) * step_s;
       if (queue.budget_balance < kEpsilon && queue.budget_balance > -kEpsilon)
-        queue.budget_balance = 0;  // at an event, but for rounding
+        queue.budget_balance = 0;  // an event up to rounding
     }
   }
   return max_time;
--- a/src/scheduler/wait_forecast.h
+++ b/src/scheduler/wait_forecast.h
@@ -1,12 +1,12 @@
-// How long what is ahead will take: the queues as a fluid.
+// Forecasts waits with a fluid model of the teams' queues.
 //
-// Each team is a tank of work that waits, with an inflow (what is expected to arrive) and accounts as they
-// stand. The engines drain `per_s` in all; each moment it goes to teams by standing (owed, within, borrowing)
-// and by weight among equals, no team gets more than it has, and a budget that runs out changes the standing.
-// The answer is when the asked team will have drained `ahead`. Walked from event to event (a tank empties, a
-// budget ends, the asked work is done), at most kSteps of them.
+// Each team is a fluid queue with an expected arrival rate and its current budget balance. The engines drain
+// `throughput` in all. At each moment it is divided by budget status (below_floor, within_budget, borrowing)
+// and by weight within one status; no team gets more than it has queued, and a budget that runs out changes
+// the status. The model is advanced from event to event (a queue empties, a budget runs out, the requested
+// work is done), for kMaxSteps events at most.
 //
-// Pure function; memory: the caller's.
+// Pure. Memory: the caller's.
 #pragma once
 
 #include <vector>
@@ -15,17 +15,18 @@
 
 namespace yokestream::scheduler {
 
+// Work and balances in engine-seconds, rates in engine-seconds per second.
 struct FluidQueue {
-  double work = 0;          // that waits, engine-seconds
-  double arrival_rate = 0;  // engine-seconds a second
+  double work = 0;
+  double arrival_rate = 0;
   double weight = 1;
-  double budget_balance = 0;  // balance
-  double budget_rate = 0;     // the budget's rate
-  double floor_rate = 0;      // engine-seconds a second
-  double ceiling_rate = 1e9;  // the same
+  double budget_balance = 0;
+  double budget_rate = 0;
+  double floor_rate = 0;
+  double ceiling_rate = 1e9;
 };
 
-// Seconds until `team` has drained `ahead`; at most `most`.
+// Seconds until `team` has drained `work_ahead`; at most `max_time`. Changes `queues`.
 double drain_time(std::vector<FluidQueue>& queues, std::size_t team, double work_ahead, double throughput,
                   double max_time);
 
--- a/src/standin/deadline.h
+++ b/src/standin/deadline.h
@@ -38,7 +38,7 @@
   double served(std::size_t cls, std::size_t member = kMembersAll) const {
     return part_of(&Service::served, cls, member);
   }
-  // Quoted waits against those that came: all, and those of kShort and longer.
+  // Quoted waits against those that came: all, and those of kShortWaitS and longer.
   std::size_t quotes = 0, right = 0, long_quotes = 0, long_right = 0;
   static constexpr std::size_t kMembersAll = 1000;
 
--- a/tests/node/scheduler_test.cpp
+++ b/tests/node/scheduler_test.cpp
@@ -1,4 +1,4 @@
-// The queues' parts against plain references: random steps from fixed seeds, a clock of our own.
+// Tests of the scheduler and its parts against reference models, with fixed seeds and a simulated clock.
 #include "scheduler/scheduler.h"
 
 #include <doctest/doctest.h>
@@ -24,7 +24,7 @@
   t.name = name, t.share = share, t.level_by_class = std::move(level);
   return t;
 }
-// `rest` and one team a share, a member each.
+// The team `rest`, and one team with one tenant for each share.
 Settings settings(const std::vector<double>& shares) {
   Settings out;
   out.enabled = true;
@@ -36,92 +36,93 @@
   return out;
 }
 
-// Engines as a fluid beside the queues: what has passed is worked off at `cores`, each on one thread.
-struct Rig {
-  Rig(const Settings& s, double cores_) : cores(cores_), queues(kStart, s, 2) {
-    queues.set_cores(now, cores_);
+// A scheduler and engines whose `cores` are shared equally by the admitted requests, one core each at most.
+struct Simulation {
+  Simulation(const Settings& s, double cores_) : cores(cores_), scheduler(kStart, s, 2) {
+    scheduler.set_cores(now, cores_);
   }
-  double cores;
-  Scheduler queues;
+  double cores, longest_wait_s = 0;
+  Scheduler scheduler;
   Time now = kStart;
   std::uint64_t last = 0;
-  std::map<QueryId, double> runs;  // work left
-  std::set<QueryId> waits;
-  std::map<QueryId, Time> came;
-  std::map<std::size_t, double> gone;  // work by team
+  std::map<QueryId, double> running, costs;  // remaining and total work
+  std::set<QueryId> queued;
+  std::map<QueryId, Time> arrived_at;
+  std::map<std::size_t, double> dispatched_work;  // work by team
   std::map<QueryId, std::size_t> team_of;
-  std::map<QueryId, double> costs;
-  double longest = 0;
-  std::uint64_t refused = 0, expired_early = 0;
+  std::uint64_t rejected = 0;
 
-  QueryId arrive(std::size_t member, double cost, std::size_t cls = 0, Duration left = 30s) {
+  QueryId offer(std::size_t tenant, double cost, std::size_t cls = 0, Duration time_left = 30s) {
     Arrival a;
     a.query = QueryId{++last};
-    a.tenant = member, a.cls = cls, a.estimated_work_s = cost;
-    a.deadline = now + left, a.soft_deadline = now + left / 2;
-    const Verdict v = queues.offer(now, a);
-    came[a.query] = now, team_of[a.query] = queues.team_of(member), costs[a.query] = cost;
-    if (v.decision == Decision::admit) run(a.query);
-    if (v.decision == Decision::queue) waits.insert(a.query);
-    if (v.decision == Decision::reject) ++refused;
+    a.tenant = tenant, a.cls = cls, a.estimated_work_s = cost;
+    a.deadline = now + time_left, a.soft_deadline = now + time_left / 2;
+    const Verdict v = scheduler.offer(now, a);
+    arrived_at[a.query] = now, team_of[a.query] = scheduler.team_of(tenant), costs[a.query] = cost;
+    if (v.decision == Decision::admit) start(a.query);
+    if (v.decision == Decision::queue) queued.insert(a.query);
+    if (v.decision == Decision::reject) ++rejected;
     REQUIRE((v.decision != Decision::reject || v.retry_after >= 50ms));
-    move();
+    handle_verdicts();
     return a.query;
   }
-  void run(QueryId q) { runs[q] = costs[q], gone[team_of[q]] += costs[q]; }
-  void move() {
-    while (const auto moved = queues.next(now)) {
-      REQUIRE(waits.erase(moved->query) == 1);
-      longest = std::max(longest, seconds(now - came[moved->query]));
-      if (moved->verdict.decision == Decision::admit) {
-        run(moved->query);
+  void start(QueryId q) { running[q] = costs[q], dispatched_work[team_of[q]] += costs[q]; }
+  void handle_verdicts() {
+    while (const auto next = scheduler.next(now)) {
+      REQUIRE(queued.erase(next->query) == 1);
+      longest_wait_s = std::max(longest_wait_s, seconds(now - arrived_at[next->query]));
+      if (next->verdict.decision == Decision::admit) {
+        start(next->query);
       } else {
-        ++refused;
-        queues.on_request_finished(now, moved->query, {});
+        ++rejected;
+        scheduler.on_request_finished(now, next->query, {});
       }
     }
   }
-  void pass(Duration time, Duration step = 10ms) {
-    const Time until = now + time;
+  void run_for(Duration duration, Duration step = 10ms) {
+    const Time until = now + duration;
     while (now < until) {
       now += step;
-      const double each = std::min(1.0, cores / std::max<double>(1, static_cast<double>(runs.size())));
-      std::vector<QueryId> done;
-      for (auto& [q, left] : runs) {
-        if ((left -= each * seconds(step)) <= 0) done.push_back(q);
+      const double each = std::min(1.0, cores / std::max<double>(1, static_cast<double>(running.size())));
+      std::vector<QueryId> finished;
+      for (auto& [q, left] : running) {
+        if ((left -= each * seconds(step)) <= 0) finished.push_back(q);
       }
-      for (const QueryId q : done) {
-        runs.erase(q);
-        throttle::Outcome o;
-        o.ran = true, o.took = now - came[q], o.real = costs[q];
-        queues.on_request_finished(now, q, o);
+      for (const QueryId q : finished) {
+        running.erase(q);
+        throttle::Outcome outcome;
+        outcome.ran = true, outcome.took = now - arrived_at[q], outcome.real = costs[q];
+        scheduler.on_request_finished(now, q, outcome);
       }
-      move();
+      handle_verdicts();
     }
   }
 };
 
-TEST_CASE("ageing: priority rises with waiting and with nearness, and the order of two never changes") {
+TEST_CASE("priority rises with waiting and a nearer soft deadline; two requests keep their order") {
   std::mt19937_64 random(7);
   std::uniform_real_distribution<double> draw(0, 1);
   for (int i = 0; i < 2000; ++i) {
-    const Duration age = from_seconds(0.1 + 3 * draw(random));
-    const Time a = kStart + from_seconds(5 * draw(random)), w = a + from_seconds(8 * draw(random));
-    const Duration needs = from_seconds(2 * draw(random));
+    const Duration step = from_seconds(0.1 + 3 * draw(random));
+    const Time arrived = kStart + from_seconds(5 * draw(random)),
+               deadline = arrived + from_seconds(8 * draw(random));
+    const Duration service = from_seconds(2 * draw(random));
     const auto level = static_cast<unsigned>(random() % kServiceLevels);
-    const Time due = due_time(a, level, age, w, needs), later = a + from_seconds(9 * draw(random));
-    CHECK(due >= a);
-    CHECK((due <= a + 3 * age));
-    CHECK(aged_priority(later + 1s, due, age) > aged_priority(later, due, age));
-    CHECK(due_time(a, level, age, w - 500ms, needs) <= due);             // nearer: no lower
-    if (level < 3) CHECK(due_time(a, level + 1, age, w, needs) <= due);  // higher level: no lower
-    const Time other = due_time(a + 300ms, level, age, w + 1s, needs);
-    CHECK((aged_priority(later, due, age) < aged_priority(later, other, age)) ==
-          (aged_priority(later + 7s, due, age) < aged_priority(later + 7s, other, age)));
+    const Time due = due_time(arrived, level, step, deadline, service),
+               later = arrived + from_seconds(9 * draw(random));
+    CHECK(due >= arrived);
+    CHECK((due <= arrived + 3 * step));
+    CHECK(aged_priority(later + 1s, due, step) > aged_priority(later, due, step));
+    CHECK(due_time(arrived, level, step, deadline - 500ms, service) <= due);  // nearer deadline: no later
+    if (level < 3)
+      CHECK(due_time(arrived, level + 1, step, deadline, service) <= due);  // higher level: no later
+    const Time other = due_time(arrived + 300ms, level, step, deadline + 1s, service);
+    CHECK((aged_priority(later, due, step) < aged_priority(later, other, step)) ==
+          (aged_priority(later + 7s, due, step) < aged_priority(later + 7s, other, step)));
   }
 }
 
-TEST_CASE("the work ahead by due time is that of a plain sum") {
+TEST_CASE("WorkByDueTime agrees with a plain sum to within one slot") {
   std::mt19937_64 random(8);
   WorkByDueTime sums(30s);
   std::vector<std::pair<Time, double>> plain;
@@ -142,7 +143,7 @@
       plain.erase(plain.begin());
     }
     const Time asked = now + std::chrono::milliseconds(random() % 9000);
-    double sure = 0, most = 0;  // but for the slot that it falls into
+    double sure = 0, most = 0;  // bounds: without and with the slot of `asked`
     for (const auto& [due, work] : plain) {
       sure += due < asked - sums.slot_width() ? work : 0;
       most += due < asked + sums.slot_width() ? work : 0;
@@ -152,7 +153,7 @@
   }
 }
 
-TEST_CASE("accounts: a budget of zero borrows, budgets over the whole are cut, debt is paid back in a span") {
+TEST_CASE("a team without budget borrows, excess budgets are scaled, debt is repaid in one period") {
   Settings s = settings({0.5, 0.8});
   s.teams[1].budget_s = 0;
   BudgetAccounts accounts;
@@ -162,7 +163,7 @@
   CHECK(accounts.budget_rate(1) == 0);
   CHECK(accounts.budget_rate(2) == doctest::Approx(8));
   CHECK(accounts.guaranteed_rate(1) == doctest::Approx(0.1 * 10 / 3));
-  s.teams[1].budget_s = 60 * 10 * 3.0;  // three times the whole
+  s.teams[1].budget_s = 60 * 10 * 3.0;  // three times the throughput
   accounts.configure(kStart, s);
   accounts.set_throughput(kStart, 10);
   CHECK(accounts.budget_rate(1) + accounts.budget_rate(2) == doctest::Approx(10));
@@ -172,11 +173,10 @@
   CHECK(accounts.status(kStart + 59s, 2) == BudgetStatus::borrowing);
   CHECK(accounts.status(kStart + 61s, 2) == BudgetStatus::within_budget);
   CHECK(accounts.budget_balance(kStart + 1000s, 2) ==
-        doctest::Approx(60 * accounts.budget_rate(2)));  // a span's burst
+        doctest::Approx(60 * accounts.budget_rate(2)));  // burst
 }
 
-TEST_CASE(
-    "accounts: a floor is owed whatever was used, a ceiling bars, a group's account holds for its teams") {
+TEST_CASE("a floor holds in debt, a ceiling stops a team, a group is charged for its teams") {
   Settings s = settings({0.5, 0.5});
   s.teams[1].floor = 0.2, s.teams[2].ceiling = 0.3;
   BudgetAccounts accounts;
@@ -188,8 +188,7 @@
   accounts.charge(kStart + 2s, 2, 3.5);
   CHECK(accounts.status(kStart + 2s, 2) == BudgetStatus::at_ceiling);
   CHECK(accounts.status(kStart + 3s, 2) == BudgetStatus::within_budget);
-  s.teams[1].group = s.teams[2].group = "rest";
-  s.teams[0].share = 1;
+  s.teams[1].group = s.teams[2].group = "rest", s.teams[0].share = 1;
   BudgetAccounts grouped;
   grouped.configure(kStart, s);
   grouped.set_throughput(kStart, 10);
@@ -198,45 +197,45 @@
   CHECK_FALSE(grouped.is_leaf(0));
 }
 
-// The same fluid in steps of a millisecond.
-double plain_drain(std::vector<FluidQueue> queues, std::size_t asked, double ahead, double per_s,
-                   double most) {
-  queues[asked].work = std::max(queues[asked].work, ahead);
+// Reference model of drain_time(), in steps of 1 ms.
+double reference_drain_time(std::vector<FluidQueue> queues, std::size_t team, double work_ahead,
+                            double throughput, double max_time) {
+  queues[team].work = std::max(queues[team].work, work_ahead);
   const double step = 0.001;
-  for (double at = 0; at < most; at += step) {
-    std::vector<double> left, got(queues.size(), 0);
-    for (auto& t : queues)
-      t.work += t.arrival_rate * step, left.push_back(std::min(t.work, t.ceiling_rate * step));
-    double room = per_s * step;
+  for (double elapsed = 0; elapsed < max_time; elapsed += step) {
+    std::vector<double> limit, served(queues.size(), 0);
+    for (auto& q : queues)
+      q.work += q.arrival_rate * step, limit.push_back(std::min(q.work, q.ceiling_rate * step));
+    double capacity = throughput * step;
     for (std::size_t i = 0; i < queues.size(); ++i) {
-      got[i] = std::min({left[i], queues[i].floor_rate * step, room});
-      room -= got[i];
+      served[i] = std::min({limit[i], queues[i].floor_rate * step, capacity});
+      capacity -= served[i];
     }
     for (const bool within : {true, false}) {
       for (int round = 0; round < 20; ++round) {
         double weights = 0, used = 0;
         for (std::size_t i = 0; i < queues.size(); ++i)
           weights +=
-              (queues[i].budget_balance > 0) == within && got[i] < left[i] - 1e-12 ? queues[i].weight : 0;
+              (queues[i].budget_balance > 0) == within && served[i] < limit[i] - 1e-12 ? queues[i].weight : 0;
         for (std::size_t i = 0; weights > 0 && i < queues.size(); ++i) {
-          if ((queues[i].budget_balance > 0) != within || got[i] >= left[i] - 1e-12) continue;
-          const double more = std::min(left[i] - got[i], room * queues[i].weight / weights);
-          got[i] += more, used += more;
+          if ((queues[i].budget_balance > 0) != within || served[i] >= limit[i] - 1e-12) continue;
+          const double more = std::min(limit[i] - served[i], capacity * queues[i].weight / weights);
+          served[i] += more, used += more;
         }
-        room -= used;
+        capacity -= used;
       }
     }
     for (std::size_t i = 0; i < queues.size(); ++i) {
-      queues[i].work -= got[i];
-      queues[i].budget_balance += queues[i].budget_rate * step - got[i];
+      queues[i].work -= served[i];
+      queues[i].budget_balance += queues[i].budget_rate * step - served[i];
     }
-    ahead -= got[asked];
-    if (ahead <= 0) return at + step;
+    work_ahead -= served[team];
+    if (work_ahead <= 0) return elapsed + step;
   }
-  return most;
+  return max_time;
 }
 
-TEST_CASE("the forecast is that of the same fluid in small steps") {
+TEST_CASE("drain_time agrees with a simulation in small steps") {
   std::mt19937_64 random(9);
   std::uniform_real_distribution<double> draw(0, 1);
   double errors = 0;
@@ -252,107 +251,103 @@
       t.ceiling_rate = random() % 4 ? 1e9 : 1 + 3 * draw(random);
     }
     const double ahead = 0.5 + 10 * draw(random);
-    const double plain = plain_drain(queues, 0, ahead, 10, 30);
-    std::vector<FluidQueue> walked = queues;
-    const double wait = drain_time(walked, 0, ahead, 10, 30);
+    const double reference = reference_drain_time(queues, 0, ahead, 10, 30);
+    std::vector<FluidQueue> scratch = queues;
+    const double wait = drain_time(scratch, 0, ahead, 10, 30);
     CAPTURE(i);
-    CHECK(wait == doctest::Approx(plain).epsilon(0.25));  // budgets that hover round nothing
-    errors += std::abs(wait - plain) / plain / 60;
+    CHECK(wait == doctest::Approx(reference).epsilon(0.25));  // balances near zero
+    errors += std::abs(wait - reference) / reference / 60;
   }
   CHECK(errors < 0.02);
 }
 
-TEST_CASE("a team that asks for eight times its budget takes nothing from one within its own") {
-  Rig rig(settings({0.5, 0.5}), 8);
+TEST_CASE("a team that offers eight times its budget does not slow down a team within its budget") {
+  Simulation sim(settings({0.5, 0.5}), 8);
   std::mt19937_64 random(3);
-  for (int i = 0; i < 6000; ++i) {  // a minute; 0.1 a request
-    for (int k = 0; k < 3; ++k) rig.arrive(0, 0.1);
-    if (i % 3 == 0) rig.arrive(1, 0.1);  // 3.3 a second of its 4
-    rig.pass(10ms);
+  for (int i = 0; i < 6000; ++i) {  // 60 s; 0.1 engine-seconds per request
+    for (int k = 0; k < 3; ++k) sim.offer(0, 0.1);
+    if (i % 3 == 0) sim.offer(1, 0.1);  // 3.3 engine-seconds per second of its 4
+    sim.run_for(10ms);
   }
-  CHECK(rig.gone[2] > 0.97 * 2000 * 0.1);
-  CHECK(rig.gone[1] > 0.4 * 8 * 60);
-  CHECK(rig.refused > 5000);
+  CHECK(sim.dispatched_work[2] > 0.97 * 2000 * 0.1);
+  CHECK(sim.dispatched_work[1] > 0.4 * 8 * 60);
+  CHECK(sim.rejected > 5000);
 }
 
-TEST_CASE("two teams borrow from a third; when it wakes up it has its budget at once, and they pay back") {
-  Rig rig(settings({0.3, 0.3, 0.4}), 10);
+TEST_CASE("two teams borrow from an idle one; once it is busy it has its budget, and they repay") {
+  Simulation sim(settings({0.3, 0.3, 0.4}), 10);
   const auto ask = [&](bool third) {
-    for (int k = 0; k < 2; ++k) rig.arrive(0, 0.1), rig.arrive(1, 0.1);
-    if (third) rig.arrive(2, 0.1);
-    rig.pass(25ms);
+    for (int k = 0; k < 2; ++k) sim.offer(0, 0.1), sim.offer(1, 0.1);
+    if (third) sim.offer(2, 0.1);
+    sim.run_for(25ms);
   };
-  for (int i = 0; i < 3200; ++i) ask(false);  // 16 a second of 10, for longer than what was saved up lasts
-  CHECK(rig.gone[1] + rig.gone[2] > 0.85 * 10 * 80);
-  CHECK(rig.queues.budget_balance(rig.now, 1) < 0);
-  const double before = rig.gone[3];
-  for (int i = 0; i < 400; ++i) ask(true);  // 4 a second
-  CHECK(rig.gone[3] - before > 0.95 * 4 * 10);
-  rig.pass(300s, 1s);
-  CHECK(rig.queues.budget_status(rig.now, 1) == BudgetStatus::within_budget);
+  for (int i = 0; i < 3200; ++i) ask(false);  // load 16 of 10 for 80 s, longer than saved budgets last
+  CHECK(sim.dispatched_work[1] + sim.dispatched_work[2] > 0.85 * 10 * 80);
+  CHECK(sim.scheduler.budget_balance(sim.now, 1) < 0);
+  const double before = sim.dispatched_work[3];
+  for (int i = 0; i < 400; ++i) ask(true);  // 4 engine-seconds per second
+  CHECK(sim.dispatched_work[3] - before > 0.95 * 4 * 10);
+  sim.run_for(300s, 1s);
+  CHECK(sim.scheduler.budget_status(sim.now, 1) == BudgetStatus::within_budget);
 }
 
-TEST_CASE(
-    "what can wait finishes beside a flood for an hour, whatever its budget; no wait passes its bound") {
+TEST_CASE("level 0 without budget is served during an hour of overload, and no wait exceeds max_wait") {
   Settings s = settings({1.0, 0});
-  s.teams[2].budget_s = 0;
-  s.teams[2].level_by_class = {0, 0};
+  s.teams[2].budget_s = 0, s.teams[2].level_by_class = {0, 0};
   s.max_wait = 20s, s.slack_factor = 1;
-  Rig rig(s, 4);
+  Simulation sim(s, 4);
   std::set<QueryId> low;
   for (int i = 0; i < 36'000; ++i) {
-    rig.arrive(0, 0.5), rig.arrive(0, 0.3);  // twice what fits
-    if (i % 100 == 0) low.insert(rig.arrive(1, 0.5, 0, 60s));
-    rig.pass(100ms, 20ms);
+    sim.offer(0, 0.5), sim.offer(0, 0.3);  // twice the capacity
+    if (i % 100 == 0) low.insert(sim.offer(1, 0.5, 0, 60s));
+    sim.run_for(100ms, 20ms);
   }
-  rig.pass(60s, 100ms);
-  CHECK(rig.gone[2] >= 0.97 * 360 * 0.5);
-  CHECK(rig.queues.metrics().dispatched_overdue > 100);
-  CHECK(rig.longest <= 20.2);
+  sim.run_for(60s, 100ms);
+  CHECK(sim.dispatched_work[2] >= 0.97 * 360 * 0.5);
+  CHECK(sim.scheduler.metrics().dispatched_overdue > 100);
+  CHECK(sim.longest_wait_s <= 20.2);
 }
 
-TEST_CASE(
-    "random steps: each is answered once, nobody waits past the bound, counts agree, teams come and go") {
+TEST_CASE("random events: one verdict per request, max_wait holds, counts agree as teams change") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     std::mt19937_64 random(seed);
     Settings s = settings({0.5, 0.3, 0.2});
-    s.max_wait = 3s, s.slack_factor = 1;
-    s.max_queued = 200;
-    Rig rig(s, 4);
+    s.max_wait = 3s, s.slack_factor = 1, s.max_queued = 200;
+    Simulation sim(s, 4);
     for (int i = 0; i < 1500; ++i) {
       for (std::uint64_t k = random() % 4; k > 0; --k)
-        rig.arrive(random() % 3, 0.02 + 0.001 * static_cast<double>(random() % 200), random() % 2,
-                   std::chrono::milliseconds(50 + random() % 8000));
-      if (random() % 5 == 0 && !rig.waits.empty()) {  // given up while it waited
+        sim.offer(random() % 3, 0.02 + 0.001 * static_cast<double>(random() % 200), random() % 2,
+                  std::chrono::milliseconds(50 + random() % 8000));
+      if (random() % 5 == 0 && !sim.queued.empty()) {  // abandoned while queued
         const QueryId q =
-            *std::next(rig.waits.begin(), static_cast<std::ptrdiff_t>(random() % rig.waits.size()));
-        rig.waits.erase(q);
-        rig.queues.on_request_finished(rig.now, q, {});
+            *std::next(sim.queued.begin(), static_cast<std::ptrdiff_t>(random() % sim.queued.size()));
+        sim.queued.erase(q);
+        sim.scheduler.on_request_finished(sim.now, q, {});
       }
       if (random() % 200 == 0) {
         Settings changed = settings({0.2 + 0.1 * static_cast<double>(random() % 5), 0.3, 0.2});
         changed.max_wait = 3s, changed.slack_factor = 1, changed.max_queued = 200;
-        if (random() % 2) changed.teams.pop_back(), changed.team_of[2] = 1;  // what waits there goes to t0
-        rig.queues.configure(rig.now, changed);
-        for (auto& [q, t] : rig.team_of) t = std::min(t, changed.teams.size() - 1);
+        if (random() % 2) changed.teams.pop_back(), changed.team_of[2] = 1;  // its queued requests move to t0
+        sim.scheduler.configure(sim.now, changed);
+        for (auto& [q, t] : sim.team_of) t = std::min(t, changed.teams.size() - 1);
       }
-      rig.pass(std::chrono::milliseconds(10 + 10 * (random() % 3)));
-      const Metrics f = rig.queues.metrics();
-      REQUIRE(f.waiting == rig.waits.size());
-      REQUIRE(f.admitted == rig.runs.size());
-      REQUIRE(f.threads_in_use == doctest::Approx(static_cast<double>(rig.runs.size())));
+      sim.run_for(std::chrono::milliseconds(10 + 10 * (random() % 3)));
+      const Metrics f = sim.scheduler.metrics();
+      REQUIRE(f.waiting == sim.queued.size());
+      REQUIRE(f.admitted == sim.running.size());
+      REQUIRE(f.threads_in_use == doctest::Approx(static_cast<double>(sim.running.size())));
     }
-    CHECK(rig.longest <= 3.05);
-    rig.pass(60s, 50ms);
-    CHECK(rig.waits.empty());
-    CHECK(rig.queues.metrics().threads_in_use == 0);
+    CHECK(sim.longest_wait_s <= 3.05);
+    sim.run_for(60s, 50ms);
+    CHECK(sim.queued.empty());
+    CHECK(sim.scheduler.metrics().threads_in_use == 0);
   }
 }
 
-TEST_CASE("a snapshot restored elsewhere holds the same; what finds no room there is told") {
-  Rig rig(settings({0.5, 0.5}), 2);
-  for (int i = 0; i < 200; ++i) rig.arrive(static_cast<std::size_t>(i) % 2, 0.1), rig.pass(10ms);
-  const Snapshot kept = rig.queues.snapshot(rig.now);
+TEST_CASE("a restored snapshot equals the original, and requests that do not fit are returned") {
+  Simulation sim(settings({0.5, 0.5}), 2);
+  for (int i = 0; i < 200; ++i) sim.offer(static_cast<std::size_t>(i) % 2, 0.1), sim.run_for(10ms);
+  const Snapshot kept = sim.scheduler.snapshot(sim.now);
   REQUIRE(kept.queued.size() > 10);
   Scheduler other(kStart + 500s, settings({0.5, 0.5}), 2);
   other.set_cores(kStart + 500s, 2);
@@ -376,28 +371,26 @@
   CHECK(full.restore(kStart, kept).size() == kept.queued.size() - 5);
 }
 
-TEST_CASE("a class that was never seen and estimates that are not told are taken on") {
-  Rig rig(settings({0.5, 0.5}), 2);
-  const QueryId q = rig.arrive(0, 0, 1);
-  CHECK(rig.runs.count(q) == 1);
+TEST_CASE("requests of unknown classes and tenants and without estimates are admitted and estimated") {
+  Simulation sim(settings({0.5, 0.5}), 2);
+  const QueryId q = sim.offer(0, 0, 1);
+  CHECK(sim.running.count(q) == 1);
   Arrival a;
   a.query = QueryId{77}, a.tenant = 99, a.cls = 1;
-  a.deadline = rig.now + 5s, a.soft_deadline = rig.now + 2s;
-  const WaitEstimate estimate = rig.queues.estimate_wait(rig.now, a);
+  a.deadline = sim.now + 5s, a.soft_deadline = sim.now + 2s;
+  const WaitEstimate estimate = sim.scheduler.estimate_wait(sim.now, a);
   CHECK((estimate.wait >= Duration{}));
   CHECK((estimate.response_p90 >= estimate.response));
 }
 
-// ---- bands
-
 EnginePriorities::Attempt attempt_of(const char* engine, unsigned requested) {
-  EnginePriorities::Attempt s;
-  s.engine = engine, s.requested = requested, s.expected_time = 1s, s.expected_time_p90 = 2s;
-  s.soft_deadline = kStart + 1000s;
-  return s;
+  EnginePriorities::Attempt attempt;
+  attempt.engine = engine, attempt.requested = requested;
+  attempt.expected_time = 1s, attempt.expected_time_p90 = 2s, attempt.soft_deadline = kStart + 1000s;
+  return attempt;
 }
 
-TEST_CASE("bands: one far past its usual time sinks for good, a load never, and the module's wish counts") {
+TEST_CASE("a query far over its expected time stays demoted, a load is not, and requested priorities apply") {
   EnginePriorities priorities;
   priorities.configure(4, 100);
   auto load = attempt_of("e", 1);
@@ -410,33 +403,33 @@
   CHECK(change->query == QueryId{1});
   CHECK(change->priority == 0);
   CHECK_FALSE(priorities.next_change(kStart + 4300ms));
-  CHECK_FALSE(priorities.on_priority_requested(kStart + 9s, QueryId{1}, 3));  // it stays down
+  CHECK_FALSE(priorities.on_priority_requested(kStart + 9s, QueryId{1}, 3));  // stays demoted
   CHECK(priorities.on_priority_requested(kStart + 9s, QueryId{2}, 3) == 3u);
   CHECK(priorities.demoted() == 1);
   priorities.on_attempt_ended(QueryId{1});
   CHECK_FALSE(priorities.on_priority_requested(kStart + 10s, QueryId{1}, 2));
 }
 
-TEST_CASE("bands: borrowed work gives way while others wait, and not before; no flapping") {
+TEST_CASE("a query on borrowed budget has a lower priority only while requests wait, without flapping") {
   EnginePriorities priorities;
   priorities.configure(100, 100);
   auto start = attempt_of("e", 2);
   start.borrowed = true;
   CHECK(priorities.on_attempt_started(kStart, QueryId{1}, start) == 2);
-  std::vector<std::pair<double, unsigned>> told;
+  std::vector<std::pair<double, unsigned>> sent;
   for (int ms = 0; ms < 20'000; ms += 10) {
     const Time now = kStart + std::chrono::milliseconds(ms);
-    // Others wait for the first half of each 400 ms, then from 10 s on nobody.
+    // Requests wait until 4 s, then during the first half of each 400 ms, and from 10 s on not at all.
     priorities.update_contention(now, ms < 10'000 && (ms < 4'000 || ms % 400 < 200));
-    while (const auto change = priorities.next_change(now)) told.emplace_back(ms / 1000.0, change->priority);
+    while (const auto change = priorities.next_change(now)) sent.emplace_back(ms / 1000.0, change->priority);
   }
-  REQUIRE(told.size() == 2);
-  CHECK(told[0].second == 1);
-  CHECK(told[1].second == 2);
-  CHECK(told[1].first > 11.5);
+  REQUIRE(sent.size() == 2);
+  CHECK(sent[0].second == 1);
+  CHECK(sent[1].second == 2);
+  CHECK(sent[1].first > 11.5);
 }
 
-TEST_CASE("bands: messages to an engine keep their bound, and all is told in the end") {
+TEST_CASE("priority changes keep the message limit per engine, and all are sent in the end") {
   EnginePriorities priorities;
   priorities.configure(1.5, 10);
   for (std::uint64_t i = 1; i <= 200; ++i)
@@ -450,7 +443,7 @@
     }
   }
   for (const auto& [second, count] : by_second)
-    CHECK(count <= 2 * 2 * 10);  // a bucket and a second's fill, two engines
+    CHECK(count <= 2 * 2 * 10);  // a full bucket and its refill of 1 s, for two engines
   CHECK(all == 200);
   CHECK(priorities.changes_sent() == 200);
 }
