--- a/src/scheduler/engine_priorities.h
+++ b/src/scheduler/engine_priorities.h
@@ -4,9 +4,8 @@
 //     requested  the priority that the decision module asks for
 //     by_level   -1 for service level 0, +1 for service level 3
 //     at_risk    1 if the expected rest of the run ends after the soft deadline
-//     borrowing  1 if the query runs on borrowed budget while other requests wait (on after
-//     kContentionOnDelay
-//                of waiting, off after kContentionOffDelay without)
+//     borrowing  1 if the query runs on borrowed budget while other requests wait: on after
+//                kContentionOnDelay of waiting, off after kContentionOffDelay without
 // A query is demoted, for the rest of the attempt, once it has run `demotion_factor` times its expected time:
 // probably a bad plan. The expected time is a median, which bad plans hardly affect.
 // The priority of a load is never lowered below the requested one: a load locks its tables, and everything
--- a/src/scheduler/settings.h
+++ b/src/scheduler/settings.h
@@ -44,10 +44,9 @@
   Duration max_wait = std::chrono::seconds(10);  // a queued request is rejected after this time
   Duration max_retry_after = std::chrono::seconds(30);
   double threads_per_core = 1.4;  // start value of the concurrency limit; 0.5 to 16
-  double throttle_headroom =
-      4;  // multiplies the throttle's limit, which also counts requests queued here; 1 to 64
-  double demotion_factor = 5;  // a query running this many times its expected time is demoted; 1.5 to 100
-  bool quote_method = false;   // clients may ask for wait estimates, and answers carry them
+  double throttle_headroom = 4;   // multiplies the throttle's limit, as requests wait here; 1 to 64
+  double demotion_factor = 5;     // a query running this many times its expected time is demoted; 1.5 to 100
+  bool quote_method = false;      // clients may ask for wait estimates, and answers carry them
   double max_priority_changes_per_s = 20;  // messages per engine; 0 to 1,000
 };
 
