--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -107,7 +107,7 @@
   if (cores > 0 && cores_ > 0 && cores != cores_)
     throughput_ *= cores / cores_, throughput_windows_ = std::min(throughput_windows_, kRestoredWindows);
   if (cores > 0) cores_ = cores;
-  capacity_.cores(cores);
+  capacity_.set_cores(cores);
   if (throughput_windows_ == 0) throughput_ = capacity_.drain_rate();
   accounts_.set_throughput(now, throughput_);
   selector_.set_overdue_rate(now, settings_.overdue_share * throughput_);
@@ -183,13 +183,13 @@
 bool Scheduler::has_capacity(Time now, std::size_t team) {
   if (threads_in_use_ == 0) return true;
   const bool borrows = accounts_.status(now, team) == BudgetStatus::borrowing;
-  return threads_in_use_ < capacity_.bound() * (borrows ? 1 - kNonBorrowingReserve : 1);
+  return threads_in_use_ < capacity_.concurrency_limit() * (borrows ? 1 - kNonBorrowingReserve : 1);
 }
 
 Scheduler::Estimate Scheduler::estimate(Time now, const Arrival& arrival, bool immediately) {
   Estimate e;
   e.team = team_of(arrival.tenant);
-  e.typical_cost = cost_.charge(arrival.tenant, arrival.cls, arrival.estimated_work_s);
+  e.typical_cost = cost_.estimate_s(arrival.tenant, arrival.cls, arrival.estimated_work_s);
   e.cost = e.typical_cost * teams_[e.team].mean_cost_ratio[arrival.cls].value();
   const double unloaded_s = e.typical_cost / std::max(1.0, arrival.threads);
   const double slowdown_p90 = service_times_.slowdown(e.team, arrival.cls, 0.9);
@@ -359,25 +359,25 @@
 }
 
 void Scheduler::on_request_finished(Time now, QueryId query, const throttle::Outcome& outcome) {
-  const auto settled = throttle::settle(queued_, queue_, admitted_, query);
+  const auto settled = throttle::remove_finished(queued_, queue_, admitted_, query);
   if (!settled) return;
   const Admitted& request = *settled;
   priorities_.on_attempt_ended(query);
   threads_in_use_ = admitted_.empty() ? 0 : threads_in_use_ - request.threads_held;
-  cost_.learn(request.tenant, request.cls, request.estimated_work_s, outcome.real);
+  cost_.record(request.tenant, request.cls, request.estimated_work_s, outcome.measured_work_s);
   // The team was charged its class's mean cost, bad plans included, so that one bad plan does not block it.
   // The actual cost goes into that mean. Only requests that never ran are refunded.
-  if (outcome.real > 0) {
-    teams_[request.team].mean_cost_ratio[request.cls].add(request.typical_cost, outcome.real);
-  } else if (!outcome.ran) {
+  if (outcome.measured_work_s > 0) {
+    teams_[request.team].mean_cost_ratio[request.cls].add(request.typical_cost, outcome.measured_work_s);
+  } else if (!outcome.executed) {
     accounts_.charge(now, request.team, -request.cost);
     selector_.adjust(request.team, -request.cost, accounts_);
   }
   if (outcome.served() && request.typical_cost > 0)
     service_times_.add(request.team, request.cls,
-                       seconds_of(outcome.took) * request.threads / request.typical_cost);
-  if (outcome.refused) window_cost_ -= request.cost;  // no engine worked on it
-  capacity_.over(now, request.cls, request.threads, request.cost, outcome, queue_.size() > 0);
+                       seconds_of(outcome.latency) * request.threads / request.typical_cost);
+  if (outcome.rejected_by_policy) window_cost_ -= request.cost;  // no engine worked on it
+  capacity_.on_request_finished(now, request.cls, request.threads, request.cost, outcome, queue_.size() > 0);
 }
 
 unsigned Scheduler::on_attempt_started(Time now, QueryId query, const std::string& engine,
@@ -409,7 +409,7 @@
 Metrics Scheduler::metrics() const {
   Metrics out = metrics_;
   out.waiting = queue_.size(), out.admitted = admitted_.size(), out.demoted = priorities_.demoted();
-  out.priority_changes = priorities_.changes_sent(), out.concurrency_limit = capacity_.bound();
+  out.priority_changes = priorities_.changes_sent(), out.concurrency_limit = capacity_.concurrency_limit();
   out.throughput = throughput_, out.threads_in_use = threads_in_use_;
   return out;
 }
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -182,7 +182,7 @@
   std::size_t other_overdue_teams(Time now, std::size_t team) const;
   bool has_capacity(Time now, std::size_t team);
   double typical_cost(const Admitted& request) const {
-    return cost_.charge(request.tenant, request.cls, request.estimated_work_s);
+    return cost_.estimate_s(request.tenant, request.cls, request.estimated_work_s);
   }
   void admit(Time now, QueryId query, const Admitted& request, bool overdue = false);
   void record_wait(Time now, const Entry& entry);
@@ -192,7 +192,7 @@
   Settings settings_;
   std::size_t classes_;
   throttle::Capacity capacity_;
-  throttle::Cost cost_;
+  throttle::CostEstimator cost_;
   BudgetAccounts accounts_;
   TeamSelector selector_;
   RequestQueue queue_;
--- a/tests/node/scheduler_test.cpp
+++ b/tests/node/scheduler_test.cpp
@@ -91,7 +91,7 @@
       for (const QueryId q : finished) {
         running.erase(q);
         throttle::Outcome outcome;
-        outcome.ran = true, outcome.took = now - arrived_at[q], outcome.real = costs[q];
+        outcome.executed = true, outcome.latency = now - arrived_at[q], outcome.measured_work_s = costs[q];
         scheduler.on_request_finished(now, q, outcome);
       }
       handle_verdicts();
