--- a/src/scheduler/service_times.h
+++ b/src/scheduler/service_times.h
@@ -1,7 +1,6 @@
-// Learnt distributions: how long requests of a class and team take from release to answer, in times of their
-// unloaded time, and how quoted waits compare with those that came. Histograms on a log axis
-// (Boost.Histogram) that forget: at `full` outcomes all counts are halved. Pure; memory: kBins floats a
-// distribution.
+// Learned distributions of slowdowns: the time from dispatch to response over the unloaded run time, by team
+// and class. Also used for forecast errors. Histograms on a log axis (Boost.Histogram) that forget old
+// samples: at `max_count` samples all counts are halved. Pure. Memory: kBins floats per distribution.
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -13,30 +12,29 @@
 class Distribution {
  public:
   static constexpr int kBins = 60;
+  static constexpr double kMinSamples = 8;
 
-  Distribution(double least, double most, double full = 400);
+  Distribution(double min_value, double max_value, double max_count = 400);
   void add(double value);
   double count() const { return count_; }
-  // `otherwise` until `kFew` outcomes are known.
-  double quantile(double part, double otherwise) const;
-  static constexpr double kFew = 8;
+  // Returns `fallback` until there are kMinSamples samples.
+  double quantile(double fraction, double fallback) const;
 
  private:
   using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
   using Histogram =
       decltype(boost::histogram::make_histogram_with(std::vector<float>(), std::declval<Axis>()));
-  double least_, most_, full_;
+  double min_value_, max_value_, max_count_;
   Histogram histogram_;
   double count_ = 0;
 };
 
-// By team and class; what a team has not shown yet is taken from all teams, what nobody has shown from a
-// guess.
+// Falls back from a team's own samples of a class to those of all teams, then to a fixed default.
 class ServiceTimes {
  public:
   ServiceTimes(std::size_t teams, std::size_t classes);
-  void learn(std::size_t team, std::size_t cls, double stretch);  // time taken over unloaded time
-  double stretch(std::size_t team, std::size_t cls, double part) const;
+  void add(std::size_t team, std::size_t cls, double slowdown);
+  double slowdown(std::size_t team, std::size_t cls, double fraction) const;
 
  private:
   const Distribution& of(std::size_t team, std::size_t cls) const { return by_team_[team * classes_ + cls]; }
