--- a/include/yokestream/policy/events.h
+++ b/include/yokestream/policy/events.h
@@ -16,7 +16,7 @@
 inline constexpr std::size_t kMaxEngineSlots = 1024;
 using EngineSet = std::bitset<kMaxEngineSlots>;
 
-enum class EngineState { up, draining, gone };
+enum class EngineState { up, draining, removed };
 struct EngineEntry {
   EngineId engine;
   ZoneId zone{};
--- a/include/yokestream/policy/settings.h
+++ b/include/yokestream/policy/settings.h
@@ -42,7 +42,7 @@
 // How the engine list reaches the manager.
 enum class EngineListSource { pushed, on_request };
 // Where load reports come from.
-enum class LoadReportSource { none, answers, probes };
+enum class LoadReportSource { none, responses, probes };
 // What an engine does when grants pass its memory.
 enum class MemoryShortage { wait, shrink, page };
 enum class LoadReportField {
--- a/src/config/members.cpp
+++ b/src/config/members.cpp
@@ -39,7 +39,7 @@
 policy::EngineState state_of(const std::string& word, const std::string& path) {
   if (word == "up") return policy::EngineState::up;
   if (word == "draining") return policy::EngineState::draining;
-  if (word == "removed") return policy::EngineState::gone;
+  if (word == "removed") return policy::EngineState::removed;
   throw ConfigError(path + ".state", "unknown value '" + word + "'");
 }
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -190,7 +190,7 @@
   }
   if (const auto v = o.find("Report.How")) {
     s.load_report_source = choose<LoadReportSource>("Report.How", *v,
-                                                    {{"piggyback", LoadReportSource::answers},
+                                                    {{"piggyback", LoadReportSource::responses},
                                                      {"pull", LoadReportSource::probes},
                                                      {"silent", LoadReportSource::none}});
   }
--- a/src/dispatch/engine_directory.cpp
+++ b/src/dispatch/engine_directory.cpp
@@ -39,7 +39,7 @@
 }
 
 void EngineDirectory::note_gone(EngineRecord& record, Time now) {
-  if (record.state != policy::EngineState::gone)
+  if (record.state != policy::EngineState::removed)
     record.gone_since.reset();
   else if (!record.gone_since)
     record.gone_since = now;
@@ -54,7 +54,7 @@
     std::set<std::string> named;
     for (const auto& member : event.members) named.insert(member.uid);
     for (auto& [uid, record] : engines_) {
-      if (!named.count(uid)) record.state = policy::EngineState::gone;
+      if (!named.count(uid)) record.state = policy::EngineState::removed;
       note_gone(record, now);
     }
   }
@@ -93,7 +93,7 @@
 
 std::size_t EngineDirectory::listed_count() const {
   return static_cast<std::size_t>(std::count_if(engines_.begin(), engines_.end(), [](const auto& known) {
-    return known.second.state != policy::EngineState::gone;
+    return known.second.state != policy::EngineState::removed;
   }));
 }
 
--- a/src/dispatch/engine_directory.h
+++ b/src/dispatch/engine_directory.h
@@ -19,7 +19,7 @@
   config::Endpoint endpoint;
   std::int64_t boot_ms = 0;
   policy::KindId kind{};
-  policy::EngineState state = policy::EngineState::gone;
+  policy::EngineState state = policy::EngineState::removed;
   std::optional<Time> gone_since;
 };
 
--- a/src/policy/admission_controller.cpp
+++ b/src/policy/admission_controller.cpp
@@ -53,7 +53,7 @@
   const auto& all = engines_.all();
   return static_cast<std::size_t>(std::count_if(all.begin(), all.end(), [&](const auto& known) {
     const Engine& engine = known.second;
-    if (engine.entry.state == EngineState::gone) return false;
+    if (engine.entry.state == EngineState::removed) return false;
     return !engine.is_up() || engine.outlier.ejected || bound_.is_saturated(engine.concurrency, now_);
   }));
 }
--- a/src/policy/attempt_events.cpp
+++ b/src/policy/attempt_events.cpp
@@ -26,7 +26,7 @@
   read_report(*engine, event.load_report);
   release_engine(*query, attempt, *engine, event.outcome);
   record_outcome(*query, attempt, *engine, event);
-  if (may_have_run(event.outcome)) note_may_have_run(*query, attempt, event.outcome);
+  if (may_have_run(event.outcome)) record_possible_execution(*query, attempt, event.outcome);
   if (event.query_finished) {
     query->finished = true;
     queue_.dequeue(*query);
@@ -38,7 +38,7 @@
     else
       queue_.enqueue(*query);
   }
-  forget_if_done(event.query);
+  erase_if_finished(event.query);
 }
 
 // An attempt that timed out and can't be cancelled runs on: its lock and its announcement stay.
@@ -95,13 +95,13 @@
   const std::size_t class_index = index_of(query.request.query_class);
   outliers_.record_response(engine.outlier, now_);
   outliers_.record_success(engine.outlier, attempt.sent);
-  bound_.record_answer(engine.concurrency);
+  bound_.record_response(engine.concurrency);
   const bool time_is_its_own = !query.streaming && !attempt.waited_for_table_group;
   if (time_is_its_own && !stall_.is_recovering(now_, 1))
     learn(query, attempt, engine, to_seconds(event.elapsed));
   if (event.work && *event.work > Duration{} && query.request.work)
     workload_.observe_reported_work(class_index, *query.request.work, *event.work);
-  if (!attempt.spilled) workload_.observe_fitting_memory(class_index);
+  if (!attempt.spilled) workload_.observe_sufficient_memory(class_index);
 }
 
 void AdmissionController::Impl::learn(const Query& query, const Attempt& attempt, Engine& engine,
@@ -119,11 +119,12 @@
   served.congestion = congestion_.congestion();
   served.engine_slowdown = congestion_.engine_slowdown(engine.congestion, now_);
   served.engine_cores = engine.cores;
-  served.queries_wait = !queue_.empty();
+  served.has_queued_queries = !queue_.empty();
   bound_.record_served(served, pool(), engine.concurrency);
 }
 
-void AdmissionController::Impl::note_may_have_run(Query& query, const Attempt& attempt, Outcome outcome) {
+void AdmissionController::Impl::record_possible_execution(Query& query, const Attempt& attempt,
+                                                          Outcome outcome) {
   query.may_have_run = true;
   if (!query.may_run_since) {
     query.may_run_since = attempt.sent;
--- a/src/policy/attempt_watchdog.cpp
+++ b/src/policy/attempt_watchdog.cpp
@@ -58,7 +58,8 @@
   double ratio = kBadPlanRatio;
   if (!query.request.work) {
     if (projected_s > query.projected_duration_s / 2) return false;
-    ratio = std::max(ratio, congestion_.scatter(index_of(query.request.query_class), kScatterDeviations));
+    ratio = std::max(ratio,
+                     congestion_.deviation_factor(index_of(query.request.query_class), kScatterDeviations));
   }
   if (projected_s < ratio * usual_s || projected_s - elapsed_s < ratio / 2 * usual_s) return false;
   query.projected_duration_s = projected_s;
--- a/src/policy/concurrency_bound.cpp
+++ b/src/policy/concurrency_bound.cpp
@@ -36,13 +36,13 @@
 // waiting, others leave capacity and this manager's share of the engine grows; latency takes it back.
 void ConcurrencyBound::record_served(const Served& served, const Pool& pool, EngineState& engine) {
   const double widest = kMaxThreadsPerCore * pool.cores * pool.load_share;
-  if (served.congestion < std::log(kIncreaseBelow) && served.queries_wait)
+  if (served.congestion < std::log(kIncreaseBelow) && served.has_queued_queries)
     pool_bound_ += kIncrease * served.threads;
   if (served.congestion > std::log(kDecreaseAbove)) pool_bound_ *= kDecrease;
   pool_bound_ = std::clamp(pool_bound_, std::min(1.0, widest), widest);
   if (served.engine_slowdown < kIncreaseBelow) engine.bound += kIncrease * served.threads;
   if (served.engine_slowdown > kDecreaseAbove) engine.bound *= kDecrease;
-  if (served.engine_slowdown < kIncreaseBelow && served.queries_wait) engine.share *= 1 + kShareStep;
+  if (served.engine_slowdown < kIncreaseBelow && served.has_queued_queries) engine.share *= 1 + kShareStep;
   if (served.engine_slowdown > kPressureSlowdown) engine.share *= 1 - 2 * kShareStep;
   engine.share = std::clamp(engine.share, pool.load_share, 1.0);
   const double most = std::max(1.0, kMaxThreadsPerCore * served.engine_cores * engine.share);
@@ -57,7 +57,7 @@
   engine.bound = std::max(1.0, engine.bound * kDecrease);
 }
 
-void ConcurrencyBound::record_answer(EngineState& engine) const {
+void ConcurrencyBound::record_response(EngineState& engine) const {
   engine.saturation_backoff = std::max(kMinSaturationBackoff, engine.saturation_backoff / 2);
 }
 
--- a/src/policy/concurrency_bound.h
+++ b/src/policy/concurrency_bound.h
@@ -31,7 +31,7 @@
     double congestion = 0;
     double engine_slowdown = 1;
     double engine_cores = 1;
-    bool queries_wait = false;  // in this manager's queue
+    bool has_queued_queries = false;  // in this manager's queue
   };
 
   EngineState new_engine(double cores, double load_share) const;
@@ -39,7 +39,7 @@
   void refresh(const Pool& pool, double engines_up);
   void record_served(const Served& served, const Pool& pool, EngineState& engine);
   void record_shed(EngineState& engine, Time now) const;
-  void record_answer(EngineState& engine) const;  // the engine works: its backoff halves
+  void record_response(EngineState& engine) const;  // the engine works: its backoff halves
   // This manager's part of the load changes by `factor`.
   void scale(double factor) { pool_bound_ *= factor; }
   void scale(EngineState& engine, double factor, double load_share) const;
--- a/src/policy/congestion_tracker.cpp
+++ b/src/policy/congestion_tracker.cpp
@@ -64,7 +64,7 @@
   return std::exp(classes_[class_index].best + std::max(0.0, congestion_));
 }
 
-double CongestionTracker::scatter(std::size_t class_index, double deviations) const {
+double CongestionTracker::deviation_factor(std::size_t class_index, double deviations) const {
   return std::exp(deviations * classes_[class_index].deviation);
 }
 
--- a/src/policy/congestion_tracker.h
+++ b/src/policy/congestion_tracker.h
@@ -35,7 +35,7 @@
   // Factor by which the class usually exceeds its unloaded time now.
   double usual_slowdown(std::size_t class_index) const;
   // Factor by which so many mean deviations exceed the mean.
-  double scatter(std::size_t class_index, double deviations) const;
+  double deviation_factor(std::size_t class_index, double deviations) const;
 
   void save(LearnedState& state) const;
   void restore(const LearnedState& state);
--- a/src/policy/controller_impl.h
+++ b/src/policy/controller_impl.h
@@ -50,13 +50,13 @@
   static constexpr std::uint64_t kTickTimer = 0;
   static constexpr std::uint64_t kWatchListTimer = 1;
   // Whether a query that was looked at in the queue lets later ones pass.
-  enum class Placement { lets_others_pass, blocks_others };
+  enum class Placement { queue_continues, queue_blocked };
 
   // Events of queries (query_events.cpp).
   void on(const QueryArrived& request);
   void on(const ClientDisconnected& event);
   void on(const EligibilityChanged& event);
-  void forget_if_done(QueryId id);
+  void erase_if_finished(QueryId id);
 
   // Events of attempts (attempt_events.cpp).
   void on(const AttemptEnded& event);
@@ -66,7 +66,7 @@
   void record_outcome(Query& query, const Attempt& attempt, Engine& engine, const AttemptEnded& event);
   void record_served(const Query& query, const Attempt& attempt, Engine& engine, const AttemptEnded& event);
   void learn(const Query& query, const Attempt& attempt, Engine& engine, double elapsed_s);
-  void note_may_have_run(Query& query, const Attempt& attempt, Outcome outcome);
+  void record_possible_execution(Query& query, const Attempt& attempt, Outcome outcome);
   void cancel_attempt(Query& query);
   void announce_begin(const Query& query, Attempt& attempt, const Engine& engine);
   void announce_end(const Attempt& attempt, const Engine& engine);
@@ -80,7 +80,7 @@
   Engine& add_engine(const EngineEntry& entry);
   void restore_engine(Engine& engine, const LearnedState::Engine& known);
   void refresh_engines();
-  void watch_silent_engines();
+  void check_silent_engines();
   void cancel_stuck_attempts(const Engine& engine);
   void send_probe(Engine& engine);
   void read_report(Engine& engine, const std::vector<double>& report);
@@ -89,7 +89,7 @@
   void place_queued(bool on_tick);
   Placement place(Query& query, bool may_send);
   Placement place_by_choice(Query& query, const EngineChoice& choice, bool may_send);
-  bool wins_capacity(const Query& query, const EngineChoice& choice);
+  bool wins_capacity_draw(const Query& query, const EngineChoice& choice);
   void send(Query& query, Engine& engine, double estimate_s);
   void reject(Query& query, double retry_after_s);
   double time_limit_s(const Query& query, const Engine& engine, bool under_pressure) const;
--- a/src/policy/engine_events.cpp
+++ b/src/policy/engine_events.cpp
@@ -108,7 +108,7 @@
   outliers_.record_response(engine->outlier, now_);
   if (engine->outlier.ejected) {
     outliers_.record_success(engine->outlier, now_);
-    bound_.record_answer(engine->concurrency);
+    bound_.record_response(engine->concurrency);
   }
   read_report(*engine, event.load_report);
 }
@@ -146,7 +146,7 @@
   emit(StartTimer{kTickInterval, kTickTimer});
   retries_.expire(now_);
   refresh_engines();
-  watch_silent_engines();
+  check_silent_engines();
   const double elapsed_s = threshold_.advance(now_);
   congestion_.decay(elapsed_s);
   threshold_.update(elapsed_s, congestion_.congestion());
@@ -155,7 +155,7 @@
 // Failure: an engine or the way to it goes dead without a word. Symptom: all that runs there runs into its
 // deadline. Guard: progress, and answers, of anything that runs there would have come by now; it is ejected,
 // and queries that may be cancelled go elsewhere.
-void AdmissionController::Impl::watch_silent_engines() {
+void AdmissionController::Impl::check_silent_engines() {
   if (stall_.is_recovering(now_, kStallTicksBeforeSilence)) return;
   const Duration limit = watchdog_.silence_limit();
   for (auto& [name, engine] : engines_.all()) {
--- a/src/policy/engine_registry.cpp
+++ b/src/policy/engine_registry.cpp
@@ -10,7 +10,7 @@
 constexpr Duration kForgetAfter = std::chrono::seconds(60);  // since the last response
 
 bool is_stale(const Engine& engine, Time now) {
-  return engine.entry.state == EngineState::gone && engine.own.queries.empty() &&
+  return engine.entry.state == EngineState::removed && engine.own.queries.empty() &&
          now - std::max(engine.outlier.last_response, kLongAgo) > kForgetAfter;
 }
 
@@ -39,7 +39,7 @@
 
 void EngineRegistry::mark_gone_except(const std::set<std::string>& names) {
   for (auto& [name, engine] : engines_)
-    if (!names.count(name)) engine.entry.state = EngineState::gone;
+    if (!names.count(name)) engine.entry.state = EngineState::removed;
 }
 
 void EngineRegistry::forget_stale(Time now) {
--- a/src/policy/learned_state.cpp
+++ b/src/policy/learned_state.cpp
@@ -77,7 +77,7 @@
   estimator_.save(state);
   congestion_.save(state);
   for (const auto& [name, engine] : engines_.all())
-    if (engine.entry.state != EngineState::gone)
+    if (engine.entry.state != EngineState::removed)
       state.engines.push_back({engine.entry.engine, engine.entry.start_time, learned_of(engine)});
   return state;
 }
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -28,30 +28,30 @@
   const bool look_at_all = on_tick || blocked;
   const std::vector<QueryId> order = queue_.by_deadline();
   for (const QueryId id : order) {
-    if (place(queries_.at(id), !blocked) == Placement::blocks_others) blocked = true;
+    if (place(queries_.at(id), !blocked) == Placement::queue_blocked) blocked = true;
     if (blocked && !look_at_all) break;
   }
-  for (const QueryId id : order) forget_if_done(id);
+  for (const QueryId id : order) erase_if_finished(id);
 }
 
 AdmissionController::Impl::Placement AdmissionController::Impl::place(Query& query, bool may_send) {
   if (!rules_.has_turn(query, now_) && now_ + kTickInterval < query.deadline)
-    return Placement::lets_others_pass;
+    return Placement::queue_continues;
   if (threshold_.rejects(workload_.cost_per_value(query)) && !rules_.out_of_attempts(query, now_)) {
     reject(query, kRetryAfterCostSeconds);
-    return Placement::lets_others_pass;
+    return Placement::queue_continues;
   }
   if (may_send) {
     const auto plan = selector_.plan_probes(query, now_);
     for (Engine* engine : plan.targets) send_probe(*engine);
-    if (plan.wait) return Placement::lets_others_pass;
+    if (plan.wait) return Placement::queue_continues;
   }
   const bool pool_has_capacity =
       bound_.pool_has_capacity(running_threads_, class_of(query).threads, congestion_.congestion());
   const EngineChoice choice = selector_.choose(query, pool_has_capacity, now_);
   if (query.over_quota && choice.any_permitted && !choice.engine) {
     reject(query, kRetryAfterCostSeconds);
-    return Placement::lets_others_pass;
+    return Placement::queue_continues;
   }
   return place_by_choice(query, choice, may_send);
 }
@@ -59,7 +59,7 @@
 AdmissionController::Impl::Placement AdmissionController::Impl::place_by_choice(Query& query,
                                                                                 const EngineChoice& choice,
                                                                                 bool may_send) {
-  const bool wins = wins_capacity(query, choice);
+  const bool wins = wins_capacity_draw(query, choice);
   if (choice.engine && may_send && wins) {
     const bool under_pressure =
         query.waited_for_capacity || capacity_.is_under_pressure(*choice.engine, now_);
@@ -68,26 +68,26 @@
       send(query, *choice.engine, choice.estimate_s);
     else
       reject(query, choice.estimate_s - limit_s);
-    return Placement::lets_others_pass;
+    return Placement::queue_continues;
   }
   if (now_ + kLastTicks * kTickInterval >= query.deadline || rules_.out_of_attempts(query, now_)) {
     reject(query, 0);
-    return Placement::lets_others_pass;
+    return Placement::queue_continues;
   }
   const double excess_s =
       choice.fastest ? choice.fastest_estimate_s - time_limit_s(query, *choice.fastest, true) : 0;
   if (excess_s > 0) {
     reject(query, excess_s);
-    return Placement::lets_others_pass;
+    return Placement::queue_continues;
   }
   query.waited_for_capacity = query.waited_for_capacity || choice.any_permitted;
-  return choice.any_permitted ? Placement::blocks_others : Placement::lets_others_pass;
+  return choice.any_permitted ? Placement::queue_blocked : Placement::queue_continues;
 }
 
 // Failure: many managers see the same free capacity at once, and all fill it. Symptom: an engine jumps from
 // idle to overloaded. Guard: a share of it below the query's threads is a chance to go, drawn again on the
 // next tick, when the others' sends are known. Not where the engine was probed just now: few others see it.
-bool AdmissionController::Impl::wins_capacity(const Query& query, const EngineChoice& choice) {
+bool AdmissionController::Impl::wins_capacity_draw(const Query& query, const EngineChoice& choice) {
   if (!peer_load_.is_visible()) return true;
   if (choice.engine && selector_.was_just_probed(*choice.engine)) return true;
   return random_.next() * class_of(query).threads < choice.free_threads * load_share_.value();
--- a/src/policy/query_events.cpp
+++ b/src/policy/query_events.cpp
@@ -34,7 +34,7 @@
   queue_.dequeue(*query);
   query->finished = true;
   if (query->attempts_in_flight > 0 && settings_.may_cancel) cancel_attempt(*query);
-  forget_if_done(event.query);
+  erase_if_finished(event.query);
 }
 
 // What is in flight goes on. A query that no engine may take any more is rejected at once and never queued.
@@ -46,11 +46,11 @@
   if (query->finished || query->attempts_in_flight > 0 || !none_eligible) return;
   constexpr double kRetryAfterSeconds = 1;
   reject(*query, kRetryAfterSeconds);
-  forget_if_done(event.query);
+  erase_if_finished(event.query);
 }
 
 // A query is kept until it is finished and its last attempt has ended: its order key waits for that.
-void AdmissionController::Impl::forget_if_done(QueryId id) {
+void AdmissionController::Impl::erase_if_finished(QueryId id) {
   const Query* query = find(id);
   if (!query || !query->finished || query->attempts_in_flight > 0) return;
   if (class_of(*query).ordered && query->request.order_key) keys_.remove(*query->request.order_key, id);
--- a/src/policy/workload_statistics.cpp
+++ b/src/policy/workload_statistics.cpp
@@ -93,7 +93,7 @@
       std::pow(ratio, std::max(kWorkFactorStep, 1 / (state.cost_reports + kPresumedCostReports)));
 }
 
-void WorkloadStatistics::observe_fitting_memory(std::size_t class_index) {
+void WorkloadStatistics::observe_sufficient_memory(std::size_t class_index) {
   double& factor = classes_[class_index].memory_factor;
   factor = std::max(1.0, factor * kMemoryFactorDecay);
 }
--- a/src/policy/workload_statistics.h
+++ b/src/policy/workload_statistics.h
@@ -32,8 +32,8 @@
 
   // A response told the work that the query took.
   void observe_reported_work(std::size_t class_index, Duration estimated, Duration reported);
-  void observe_fitting_memory(std::size_t class_index);  // a query ended without spilling
-  void observe_spill(std::size_t class_index);           // one got too little memory
+  void observe_sufficient_memory(std::size_t class_index);  // a query ended without spilling
+  void observe_spill(std::size_t class_index);              // one got too little memory
 
   // Work of a query of this class of which none was told. `class_bias`: the latency estimator's.
   double usual_work_s(std::size_t class_index, double class_bias) const;
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -44,7 +44,7 @@
     if (engine.slot < policy::kMaxEngineSlots) used_slots_.set(engine.slot);
   }
   // an engine that has left may be reported by its uid alone; it keeps its origins
-  if (is_new || member.state != policy::EngineState::gone) engine.member = member;
+  if (is_new || member.state != policy::EngineState::removed) engine.member = member;
   update_origin_sets(engine);
   return engine.slot;
 }
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -171,7 +171,7 @@
   e.state = choose<policy::EngineState>(item, "StageState", item.text("StageState"),
                                         {{"U", policy::EngineState::up},
                                          {"L", policy::EngineState::draining},
-                                         {"D", policy::EngineState::gone}});
+                                         {"D", policy::EngineState::removed}});
   e.weight = item.number("PowerHint", 1);
   if (item.has("Launched") && item.integer("Launched") != 0)
     e.start_time = policy::Time(policy::Duration(item.integer("Launched")));
--- a/tests/golden/module_settings.cpp
+++ b/tests/golden/module_settings.cpp
@@ -42,7 +42,7 @@
   s.max_retry_after = milliseconds(2000);
   s.max_attempts = 4;
   s.engine_list_source = chance(random, 2) ? EngineListSource::pushed : EngineListSource::on_request;
-  s.load_report_source = LoadReportSource::answers;
+  s.load_report_source = LoadReportSource::responses;
   s.load_report_fields = {LoadReportField::inflight, LoadReportField::queue, LoadReportField::cpu,
                           LoadReportField::memory};
   s.memory_grants = chance(random, 2);
--- a/tests/golden/module_stream.cpp
+++ b/tests/golden/module_stream.cpp
@@ -164,7 +164,7 @@
       entry.kind = KindId{static_cast<std::uint32_t>(i % 2)};
       entry.cell = CellId{static_cast<std::uint64_t>(i % 3)};
       entry.slot = static_cast<std::uint32_t>(i);
-      entry.state = chance(7) ? EngineState::draining : chance(9) ? EngineState::gone : EngineState::up;
+      entry.state = chance(7) ? EngineState::draining : chance(9) ? EngineState::removed : EngineState::up;
       if (chance(6)) starts_[i] = now_;
       if (starts_.count(i)) entry.start_time = starts_[i];
       list.entries.push_back(entry);
--- a/tests/unit/policy/admission_controller_test.cpp
+++ b/tests/unit/policy/admission_controller_test.cpp
@@ -30,7 +30,7 @@
   manager.feed(AttemptProgress{QueryId{5}, AttemptNumber{3}, {"x"}, ProgressKind::spilling, 4});
   manager.feed(ClientDisconnected{QueryId{5}});
   manager.feed(ResponseStarted{QueryId{5}, AttemptNumber{0}, {"x"}});
-  EXPECT_TRUE(manager.finals.empty());
+  EXPECT_TRUE(manager.final_answers.empty());
 }
 
 TEST(AdmissionController, GivesTheSameActionsForTheSameEvents) {
@@ -38,12 +38,12 @@
   for (std::uint64_t id = 1; id < 60; ++id) {
     const auto q = a.arrive(id);
     b.arrive(id);
-    a.pass(30ms);
-    b.pass(30ms);
-    if (id % 3 && a.tries(q)) a.end(q, Outcome::served), b.end(q, Outcome::served);
+    a.advance(30ms);
+    b.advance(30ms);
+    if (id % 3 && a.attempt_count(q)) a.end_attempt(q, Outcome::served), b.end_attempt(q, Outcome::served);
   }
   EXPECT_EQ(a.sends, b.sends);
-  EXPECT_EQ(a.finals, b.finals);
+  EXPECT_EQ(a.final_answers, b.final_answers);
 }
 
 TEST(AdmissionController, SendsNothingAfterAStallBeforeTheBacklogIsRead) {
@@ -52,14 +52,14 @@
   s.may_cancel = true;
   ManagerHarness manager(s);
   const auto p = manager.arrive(1);
-  manager.pass(40ms);
+  manager.advance(40ms);
   manager.now += 2s;  // no turn, then all at once
   const auto q = manager.arrive(2);
-  EXPECT_EQ(manager.tries(q), 0u);
-  manager.list({engine("a", EngineState::draining)});
-  manager.end(p, Outcome::served, 2s);
-  manager.pass(60ms);
-  ASSERT_EQ(manager.tries(q), 1u);
+  EXPECT_EQ(manager.attempt_count(q), 0u);
+  manager.update_engine_list({make_engine("a", EngineState::draining)});
+  manager.end_attempt(p, Outcome::served, 2s);
+  manager.advance(60ms);
+  ASSERT_EQ(manager.attempt_count(q), 1u);
   EXPECT_EQ(manager.sends[q].front(), "b");
   EXPECT_TRUE(manager.cancels.empty());
 }
--- a/tests/unit/policy/admission_limit_test.cpp
+++ b/tests/unit/policy/admission_limit_test.cpp
@@ -7,11 +7,11 @@
 TEST(AdmissionLimit, MeasuresAClientsRetryFromItsFirstRequest) {
   auto s = make_settings({make_class(1s, 5s)});
   const auto refused_with = [&](Duration left) {
-    ManagerHarness manager(s, {engine("a")});
+    ManagerHarness manager(s, {make_engine("a")});
     std::uint64_t id = 1;
     for (; id <= 20; ++id) manager.arrive(id, 5s);  // full, and others wait: only the wanted time counts
     const auto q = manager.arrive(id, left);
-    return manager.refused[q];
+    return manager.rejections[q];
   };
   EXPECT_EQ(refused_with(5s), 0);
   EXPECT_EQ(refused_with(3s), 1);  // it first came 2 s ago, wanted within 1 s
@@ -21,7 +21,7 @@
   auto s = make_settings({make_class(4s, 5s)});
   s.tenants = {{0.5, 2}, {0.5, 1000}};
   s.over_quota_weight_ratio = 0.05;
-  ManagerHarness manager(s, {engine("a")});
+  ManagerHarness manager(s, {make_engine("a")});
   std::uint64_t id = 1;
   const auto ask = [&](std::uint32_t tenant) {
     QueryArrived q;
@@ -34,22 +34,22 @@
   };
   std::vector<QueryId> small;
   for (int i = 0; i < 6; ++i) small.push_back(ask(0));  // over its share, but the engine has room
-  for (const auto q : small) EXPECT_EQ(manager.tries(q), 1u);
+  for (const auto q : small) EXPECT_EQ(manager.attempt_count(q), 1u);
   for (int i = 0; i < 10; ++i) ask(1);
   const auto over = ask(0), within = ask(1);
-  manager.pass(40ms);
-  EXPECT_EQ(manager.refused[over], 1);
-  EXPECT_EQ(manager.refused[within], 0);
+  manager.advance(40ms);
+  EXPECT_EQ(manager.rejections[over], 1);
+  EXPECT_EQ(manager.rejections[within], 0);
 }
 
 TEST(AdmissionLimit, KeepsTheUsualErrorFreeUnderPressure) {
-  ManagerHarness manager(make_settings({make_class(1s, 20s)}), {engine("a")});
+  ManagerHarness manager(make_settings({make_class(1s, 20s)}), {make_engine("a")});
   std::uint64_t id = 1;
   for (; id <= 20; ++id) manager.arrive(id, 20s);
   const auto tight = manager.arrive(id++, 20s, 900ms), small = manager.arrive(id++, 20s, 50ms);
-  manager.pass(40ms);
-  EXPECT_EQ(manager.refused[tight], 1);  // fits the wanted time, but only just
-  EXPECT_EQ(manager.refused[small], 0);
+  manager.advance(40ms);
+  EXPECT_EQ(manager.rejections[tight], 1);  // fits the wanted time, but only just
+  EXPECT_EQ(manager.rejections[small], 0);
 }
 
 TEST(AdmissionLimit, GivesQueriesOverQuotaSpareCapacityOnly) {
@@ -60,7 +60,7 @@
   s.may_probe = true;
   s.load_report_source = LoadReportSource::probes;
   s.load_report_fields = {LoadReportField::inflight};
-  ManagerHarness manager(s, {engine("a")});
+  ManagerHarness manager(s, {make_engine("a")});
   const auto ask = [&](std::uint64_t id, std::uint32_t tenant, double inflight) {
     QueryArrived q;
     q.query = QueryId{id};
@@ -69,21 +69,21 @@
     q.time_left = 8s;
     manager.feed(q);
     manager.feed(ProbeEnded{{"a"}, Outcome::served, 1ms, {inflight}});
-    manager.pass(40ms);
+    manager.advance(40ms);
     return q.query;
   };
   QueryId over{};
-  for (std::uint64_t id = 1; id <= 4; ++id) manager.end(over = ask(id, 0, 1), Outcome::served);
-  manager.pass(400ms);
+  for (std::uint64_t id = 1; id <= 4; ++id) manager.end_attempt(over = ask(id, 0, 1), Outcome::served);
+  manager.advance(400ms);
   over = ask(10, 0, 6);  // six of at most seven or so
-  EXPECT_EQ(manager.refused[over], 1);
-  EXPECT_EQ(manager.refused[ask(11, 1, 6)], 0);
+  EXPECT_EQ(manager.rejections[over], 1);
+  EXPECT_EQ(manager.rejections[ask(11, 1, 6)], 0);
 }
 
 TEST(AdmissionLimit, DoesNotTakeAClientInAHurryForARetry) {
   auto s = make_settings({make_class(1s, 5s)});
   const auto refused_with = [&](Duration left, bool repeat) {
-    ManagerHarness manager(s, {engine("a")});
+    ManagerHarness manager(s, {make_engine("a")});
     std::uint64_t id = 1;
     for (; id <= 20; ++id) manager.arrive(id, 5s);  // full, and others wait: only the wanted time counts
     QueryArrived q;
@@ -92,7 +92,7 @@
     q.time_left = left;
     q.is_retry = repeat;
     manager.feed(q);
-    return manager.refused[q.query];
+    return manager.rejections[q.query];
   };
   EXPECT_EQ(refused_with(800ms, false), 0);  // in time whenever it is answered
   EXPECT_EQ(refused_with(800ms, true), 1);
--- a/tests/unit/policy/admission_threshold_test.cpp
+++ b/tests/unit/policy/admission_threshold_test.cpp
@@ -17,14 +17,14 @@
     for (int i = 0; i < n; ++i) {
       ++id;
       const auto q = manager.arrive(id, 40s, id % 10 ? 100ms : 1s);
-      manager.pass(between);
-      if (!manager.tries(q)) continue;
+      manager.advance(between);
+      if (!manager.attempt_count(q)) continue;
       ++sent;
-      manager.end(q, Outcome::served, id % 10 ? took : 10 * took);
+      manager.end_attempt(q, Outcome::served, id % 10 ? took : 10 * took);
     }
     return sent;
   }
-  ManagerHarness manager{settings(), {engine("a")}};
+  ManagerHarness manager{settings(), {make_engine("a")}};
   std::uint64_t id = 1;
 };
 
@@ -32,19 +32,19 @@
   CostScenario scenario;
   ManagerHarness& manager = scenario.manager;
   scenario.play(60, 100ms, 100ms);
-  EXPECT_EQ(manager.refused[manager.arrive(++scenario.id, 40s, 1s)], 0);
+  EXPECT_EQ(manager.rejections[manager.arrive(++scenario.id, 40s, 1s)], 0);
   scenario.play(80, 100ms, 500ms);  // five times slower, for eight seconds
   const auto dear = manager.arrive(1000, 40s, 1s), cheap = manager.arrive(1001, 40s, 20ms);
-  EXPECT_EQ(manager.refused[dear], 1);
-  EXPECT_EQ(manager.refused[cheap], 0);
+  EXPECT_EQ(manager.rejections[dear], 1);
+  EXPECT_EQ(manager.rejections[cheap], 0);
 }
 
 TEST(AdmissionThreshold, StopsFallingWithoutOutcomes) {
   CostScenario scenario;
   ASSERT_EQ(scenario.play(60, 10ms, 100ms), 60);
   ASSERT_EQ(scenario.play(8, 10ms, 500ms), 8);  // five times slower, and then nothing for a while
-  scenario.manager.pass(4s);
-  EXPECT_EQ(scenario.manager.refused[scenario.manager.arrive(++scenario.id, 40s, 300ms)], 0);
+  scenario.manager.advance(4s);
+  EXPECT_EQ(scenario.manager.rejections[scenario.manager.arrive(++scenario.id, 40s, 300ms)], 0);
 }
 
 }  // namespace
--- a/tests/unit/policy/attempt_watchdog_test.cpp
+++ b/tests/unit/policy/attempt_watchdog_test.cpp
@@ -10,12 +10,12 @@
   s.progress_interval = 500ms;
   ManagerHarness manager(s);
   const auto q = manager.arrive(1, 5s, 400ms);
-  manager.pass(500ms);
+  manager.advance(500ms);
   manager.feed(
       AttemptProgress{q, AttemptNumber{0}, {manager.sends[q].front()}, ProgressKind::progress, 0.05});
   ASSERT_EQ(manager.cancels.size(), 1u);
-  manager.end(q, Outcome::cancelled);
-  EXPECT_EQ(manager.tries(q), 2u);
+  manager.end_attempt(q, Outcome::cancelled);
+  EXPECT_EQ(manager.attempt_count(q), 2u);
 }
 
 TEST(AttemptWatchdog, LeavesAnAttemptAloneThatIsNearlyDone) {
@@ -24,7 +24,7 @@
   s.progress_interval = 500ms;
   ManagerHarness manager(s);
   const auto q = manager.arrive(1, 5s, 1s);
-  manager.pass(500ms);
+  manager.advance(500ms);
   manager.feed(
       AttemptProgress{q, AttemptNumber{0}, {manager.sends[q].front()}, ProgressKind::progress, 0.45});
   EXPECT_TRUE(manager.cancels.empty());
@@ -35,30 +35,30 @@
   s.kinds = {{64, 0}};
   s.progress_interval = 500ms;
   s.may_cancel = true;
-  ManagerHarness manager(s, {engine("a")});
+  ManagerHarness manager(s, {make_engine("a")});
   const auto lost = manager.arrive(1, 20s, 2s), runs = manager.arrive(2, 20s, 8s);
   for (int i = 0; i < 3; ++i) {
-    manager.pass(500ms);
+    manager.advance(500ms);
     manager.feed(AttemptProgress{runs, AttemptNumber{0}, {"a"}, ProgressKind::progress, 0.1 * (i + 1)});
   }
   ASSERT_EQ(manager.cancels.size(), 1u);
   EXPECT_EQ(manager.cancels.front(), lost);
-  manager.end(lost, Outcome::cancelled);
-  manager.pass(40ms);
-  EXPECT_EQ(manager.tries(lost), 2u);
+  manager.end_attempt(lost, Outcome::cancelled);
+  manager.advance(40ms);
+  EXPECT_EQ(manager.attempt_count(lost), 2u);
 }
 
 TEST(AttemptWatchdog, CancelsAnAttemptFarPastItsTimeWithGrowingPatience) {
   auto s = make_settings({make_class(20s, 60s)});
   s.may_cancel = true;
   s.kinds = {{64, 0}};
-  ManagerHarness manager(s, {engine("a")});
+  ManagerHarness manager(s, {make_engine("a")});
   std::uint64_t id = 10;
   const auto others_are_served = [&](int seconds) {
     for (int i = 0; i < seconds; ++i) {
       const auto other = manager.arrive(id++, 60s);
-      manager.pass(1s);
-      manager.end(other, Outcome::served, 100ms);
+      manager.advance(1s);
+      manager.end_attempt(other, Outcome::served, 100ms);
     }
   };
   const auto q = manager.arrive(1, 60s, 1s);
@@ -66,8 +66,8 @@
   EXPECT_TRUE(manager.cancels.empty());
   others_are_served(4);
   ASSERT_EQ(manager.cancels.size(), 1u);
-  manager.end(q, Outcome::cancelled);
-  ASSERT_EQ(manager.tries(q), 2u);
+  manager.end_attempt(q, Outcome::cancelled);
+  ASSERT_EQ(manager.attempt_count(q), 2u);
   others_are_served(14);
   EXPECT_EQ(manager.cancels.size(), 1u);  // twice the patience
 }
@@ -87,11 +87,11 @@
   };
   for (std::uint64_t id = 1; id <= 60; ++id) {  // from 0.1 to 2.5 s
     const auto q = ask(id);
-    manager.pass(20ms);
-    manager.end(q, Outcome::served, id % 2 ? 100ms : 2500ms);
+    manager.advance(20ms);
+    manager.end_attempt(q, Outcome::served, id % 2 ? 100ms : 2500ms);
   }
   const auto wide = ask(100), bad = ask(101);
-  manager.pass(500ms);
+  manager.advance(500ms);
   manager.feed(
       AttemptProgress{wide, AttemptNumber{0}, {manager.sends[wide].front()}, ProgressKind::progress, 0.2});
   EXPECT_TRUE(manager.cancels.empty());  // 2.5 s in all, as many do
--- a/tests/unit/policy/engine_selector_test.cpp
+++ b/tests/unit/policy/engine_selector_test.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 TEST(EngineSelector, PrefersAnIdleEngine) {
-  ManagerHarness manager(make_settings(), {engine("a"), engine("b"), engine("c")});
+  ManagerHarness manager(make_settings(), {make_engine("a"), make_engine("b"), make_engine("c")});
   std::set<std::string> used;
   for (std::uint64_t id = 1; id <= 3; ++id) used.insert(manager.sends[manager.arrive(id)].front());
   EXPECT_EQ(used.size(), 3u);
@@ -15,9 +15,9 @@
   ManagerHarness manager(make_settings());
   for (std::uint64_t id = 1; id <= 400; id += 2) {
     const auto p = manager.arrive(id), q = manager.arrive(id + 1);
-    manager.pass(200ms);
+    manager.advance(200ms);
     for (const auto x : {p, q})
-      manager.end(x, Outcome::served, manager.sends[x].front() == "a" ? 800ms : 100ms);
+      manager.end_attempt(x, Outcome::served, manager.sends[x].front() == "a" ? 800ms : 100ms);
   }
   const auto first = manager.arrive(1001), second = manager.arrive(1002);  // one on each
   int on_b = 0;
@@ -30,11 +30,11 @@
   auto s = make_settings();
   s.kinds = {{16, 0}, {12, 0}};
   s.manager_count = 200;
-  auto small = engine("b");
+  auto small = make_engine("b");
   small.kind = KindId{1};
   int on_small = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-    ManagerHarness manager(s, {engine("a"), small}, seed);
+    ManagerHarness manager(s, {make_engine("a"), small}, seed);
     on_small += manager.sends[manager.arrive(1)].front() == "b";
   }
   EXPECT_GT(on_small, 55);  // 12 of 28 cores: 86 expected
--- a/tests/unit/policy/learned_state_test.cpp
+++ b/tests/unit/policy/learned_state_test.cpp
@@ -10,9 +10,9 @@
 void teach(ManagerHarness& manager, int pairs = 200) {
   for (std::uint64_t id = 1; id <= 2u * pairs; id += 2) {
     const auto p = manager.arrive(id), q = manager.arrive(id + 1);
-    manager.pass(200ms);
+    manager.advance(200ms);
     for (const auto x : {p, q})
-      manager.end(x, Outcome::served, manager.sends[x].front() == "b" ? 400ms : 100ms);
+      manager.end_attempt(x, Outcome::served, manager.sends[x].front() == "b" ? 400ms : 100ms);
   }
 }
 
@@ -29,13 +29,13 @@
   EXPECT_NE(known.engines[1].learned.interference, known.engines[0].learned.interference);
   ASSERT_TRUE(young.restore(known, 0s));
   std::vector<Action> out;
-  young.handle(old.now, EngineList{EngineListKind::cached, {engine("a"), engine("b")}}, out);
+  young.handle(old.now, EngineList{EngineListKind::cached, {make_engine("a"), make_engine("b")}}, out);
   EXPECT_EQ(young.learned_state(), known);
 }
 
 TEST_F(LearnedStateTest, AvoidsTheSlowEngineFromTheFirstQueryOn) {
   ManagerHarness cold(settings),
-      warm(settings, {engine("a"), engine("b")}, 7, old.controller().learned_state());
+      warm(settings, {make_engine("a"), make_engine("b")}, 7, old.controller().learned_state());
   const auto on_b = [](ManagerHarness& manager) {
     int count = 0;
     for (std::uint64_t id = 1; id <= 4; ++id) count += manager.sends[manager.arrive(id)].front() == "b";
@@ -47,11 +47,11 @@
 
 TEST_F(LearnedStateTest, TreatsAnEngineThatWasStartedSinceAsItsKind) {
   LearnedState known = old.controller().learned_state();
-  auto again = engine("b");
+  auto again = make_engine("b");
   again.start_time = old.now;
   ASSERT_TRUE(young.restore(known, 0s));
   std::vector<Action> out;
-  young.handle(old.now, EngineList{EngineListKind::cached, {engine("a"), again}}, out);
+  young.handle(old.now, EngineList{EngineListKind::cached, {make_engine("a"), again}}, out);
   EXPECT_EQ(young.learned_state().engines[1].learned.interference, known.kinds[0]);
   EXPECT_EQ(young.learned_state().engines[0].learned, known.engines[0].learned);
 }
@@ -63,7 +63,7 @@
     AdmissionController one(settings, 8, old.now);
     EXPECT_TRUE(one.restore(known, age));
     std::vector<Action> out;
-    one.handle(old.now, EngineList{EngineListKind::cached, {engine("a"), engine("b")}}, out);
+    one.handle(old.now, EngineList{EngineListKind::cached, {make_engine("a"), make_engine("b")}}, out);
     return one.unavailable_engines();
   };
   EXPECT_EQ(avoided(1s), 1u);
@@ -98,20 +98,20 @@
   Settings s = make_settings();
   s.manager_count = 4, s.slow_start_window = 10s, s.slow_start_initial_ratio = 0.3,
   s.cold_overload_multiple = 3, s.cold_overload_window = 2s;
-  auto fresh = engine("a");
+  auto fresh = make_engine("a");
   int sent = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     for (std::size_t p = 0; p < processes; ++p) {
       ManagerHarness manager(s, {}, 100 * seed + p);
       manager.controller().set_manager_count(4.0 * static_cast<double>(processes));
       fresh.start_time = manager.now;
-      manager.list({fresh}, EngineListKind::full);
+      manager.update_engine_list({fresh}, EngineListKind::full);
       std::size_t ended = 0;
       for (std::uint64_t id = 1; id <= 100; ++id) {
         manager.arrive(id, 3s, 100ms);
-        manager.pass(20ms);
-        for (; ended < manager.order.size(); ++ended)
-          manager.end(manager.order[ended], Outcome::served, 20ms);
+        manager.advance(20ms);
+        for (; ended < manager.send_order.size(); ++ended)
+          manager.end_attempt(manager.send_order[ended], Outcome::served, 20ms);
       }
       sent += static_cast<int>(ended);
     }
--- a/tests/unit/policy/load_probes_test.cpp
+++ b/tests/unit/policy/load_probes_test.cpp
@@ -13,7 +13,7 @@
   s.load_report_fields = {LoadReportField::inflight};
   int on_full = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    ManagerHarness manager(s, {engine("a"), engine("b")}, seed);
+    ManagerHarness manager(s, {make_engine("a"), make_engine("b")}, seed);
     QueryArrived q;
     q.query = QueryId{1};
     q.work = 1s;
@@ -23,11 +23,11 @@
       if (const auto* p = std::get_if<Probe>(&a)) probed.push_back(p->engine.name);
     }
     ASSERT_EQ(probed.size(), 2u);
-    EXPECT_EQ(manager.tries(q.query), 0u);  // waits for the answers
+    EXPECT_EQ(manager.attempt_count(q.query), 0u);  // waits for the answers
     for (const auto& name : probed)
       manager.feed(ProbeEnded{{name}, Outcome::served, 1ms, {name == "a" ? 30.0 : 1.0}});
-    manager.pass(1s);
-    ASSERT_EQ(manager.tries(q.query), 1u);
+    manager.advance(1s);
+    ASSERT_EQ(manager.attempt_count(q.query), 1u);
     on_full += manager.sends[q.query].front() == "a";
   }
   EXPECT_EQ(on_full, 0);
@@ -37,13 +37,13 @@
   auto s = make_settings({make_class(4s, 8s)});
   s.manager_count = 2;
   s.may_probe = true;
-  s.load_report_source = LoadReportSource::answers;
+  s.load_report_source = LoadReportSource::responses;
   s.load_report_fields = {LoadReportField::cpu};
   ManagerHarness manager(s);
   const auto q = manager.arrive(1);
-  EXPECT_EQ(manager.tries(q), 0u);
-  manager.pass(40ms);
-  EXPECT_EQ(manager.tries(q), 1u);
+  EXPECT_EQ(manager.attempt_count(q), 0u);
+  manager.advance(40ms);
+  EXPECT_EQ(manager.attempt_count(q), 1u);
 }
 
 TEST(LoadProbes, SendsNoProbesWhereReportsTellNoLoad) {
@@ -53,7 +53,7 @@
   s.load_report_source = LoadReportSource::probes;
   s.load_report_fields = {LoadReportField::queue, LoadReportField::latency_ms};
   ManagerHarness manager(s);
-  EXPECT_EQ(manager.tries(manager.arrive(1)), 1u);
+  EXPECT_EQ(manager.attempt_count(manager.arrive(1)), 1u);
 }
 
 TEST(LoadProbes, AvoidsAnEngineNearlyOutOfMemory) {
@@ -64,11 +64,11 @@
   s.load_report_source = LoadReportSource::probes;
   s.load_report_fields = {LoadReportField::cpu, LoadReportField::memory};
   const auto sent_with = [&](double memory) {
-    ManagerHarness manager(s, {engine("a")});
+    ManagerHarness manager(s, {make_engine("a")});
     const auto q = manager.arrive(1, 8s);
     manager.feed(ProbeEnded{{"a"}, Outcome::served, 1ms, {0.1, memory}});
-    manager.pass(100ms);
-    return manager.tries(q);
+    manager.advance(100ms);
+    return manager.attempt_count(q);
   };
   EXPECT_EQ(sent_with(0.5), 1u);
   EXPECT_EQ(sent_with(0.97), 0u);  // granted memory can't pass all of it: who comes now runs short
@@ -94,11 +94,11 @@
     q.work = 100ms;
     q.time_left = 8s;
     answer_probes(manager.feed(q), of_a);
-    manager.pass(300ms);
-    while (manager.tries(q.query) && !manager.finals[q.query])
-      manager.end(q.query, manager.sends[q.query].back() == "a" ? Outcome::unreachable : Outcome::served,
-                  5ms);
-    return manager.tries(q.query) && manager.sends[q.query].front() == "a";
+    manager.advance(300ms);
+    while (manager.attempt_count(q.query) && !manager.final_answers[q.query])
+      manager.end_attempt(q.query,
+                          manager.sends[q.query].back() == "a" ? Outcome::unreachable : Outcome::served, 5ms);
+    return manager.attempt_count(q.query) && manager.sends[q.query].front() == "a";
   };
   for (int i = 0; i < 8; ++i) ask(Outcome::unreachable);
   int on_a = 0;
--- a/tests/unit/policy/manager_harness.h
+++ b/tests/unit/policy/manager_harness.h
@@ -38,7 +38,7 @@
   return s;
 }
 
-inline EngineEntry engine(const std::string& name, EngineState state = EngineState::up) {
+inline EngineEntry make_engine(const std::string& name, EngineState state = EngineState::up) {
   EngineEntry e;
   e.engine = {name};
   e.state = state;
@@ -47,13 +47,14 @@
 
 class ManagerHarness {
  public:
-  explicit ManagerHarness(const Settings& s, std::vector<EngineEntry> engines = {engine("a"), engine("b")},
+  explicit ManagerHarness(const Settings& s,
+                          std::vector<EngineEntry> engines = {make_engine("a"), make_engine("b")},
                           std::uint64_t seed = 7, const std::optional<LearnedState>& known = std::nullopt)
       : controller_(s, seed, now) {
     if (known) {
       EXPECT_TRUE(controller_.restore(*known, 0s));
     }
-    list(std::move(engines), EngineListKind::cached);
+    update_engine_list(std::move(engines), EngineListKind::cached);
   }
 
   AdmissionController& controller() { return controller_; }
@@ -63,21 +64,21 @@
     for (const Action& a : out) {
       if (const auto* send = std::get_if<Send>(&a)) {
         sends[send->query].push_back(send->engine.name);
-        order.push_back(send->query);
+        send_order.push_back(send->query);
       }
       if (const auto* refuse = std::get_if<Reject>(&a)) {
-        ++finals[refuse->query], ++refused[refuse->query];
-        advice = refuse->retry_after;
+        ++final_answers[refuse->query], ++rejections[refuse->query];
+        retry_after = refuse->retry_after;
       }
-      if (const auto* fail = std::get_if<Fail>(&a)) ++finals[fail->query], ++failed[fail->query];
+      if (const auto* fail = std::get_if<Fail>(&a)) ++final_answers[fail->query], ++failures[fail->query];
       if (const auto* c = std::get_if<Cancel>(&a)) cancels.push_back(c->query);
-      if (const auto* w = std::get_if<StartTimer>(&a)) wakes.emplace(now + w->delay, w->token);
-      if (std::holds_alternative<WatchEngineList>(a)) ++follows;
+      if (const auto* w = std::get_if<StartTimer>(&a)) timers.emplace(now + w->delay, w->token);
+      if (std::holds_alternative<WatchEngineList>(a)) ++engine_list_watches;
       if (const auto* p = std::get_if<Probe>(&a)) probes.push_back(p->engine.name);
     }
     return out;
   }
-  void list(std::vector<EngineEntry> engines, EngineListKind kind = EngineListKind::delta) {
+  void update_engine_list(std::vector<EngineEntry> engines, EngineListKind kind = EngineListKind::delta) {
     feed(EngineList{kind, std::move(engines)});
   }
   QueryId arrive(std::uint64_t id, Duration left = 5s, Duration work = 100ms, std::uint32_t cls = 0,
@@ -91,34 +92,34 @@
     feed(q);
     return q.query;
   }
-  void end(QueryId q, Outcome o, Duration took = 100ms) {
+  void end_attempt(QueryId q, Outcome o, Duration took = 100ms) {
     const auto n = sends.at(q).size() - 1;
     AttemptEnded e{q, AttemptNumber{static_cast<std::uint32_t>(n)}, {sends.at(q).back()}, o, took, false, {}};
     e.query_finished = o == Outcome::served;
-    if (e.query_finished) ++finals[q];
+    if (e.query_finished) ++final_answers[q];
     feed(e);
   }
   // Lets time pass, delivering every wake-up on the way.
-  void pass(Duration d) {
+  void advance(Duration d) {
     const Time until = now + d;
-    while (!wakes.empty() && wakes.begin()->first <= until) {
-      now = std::max(now, wakes.begin()->first);
-      const auto token = wakes.begin()->second;
-      wakes.erase(wakes.begin());
+    while (!timers.empty() && timers.begin()->first <= until) {
+      now = std::max(now, timers.begin()->first);
+      const auto token = timers.begin()->second;
+      timers.erase(timers.begin());
       feed(TimerFired{token});
     }
     now = until;
   }
-  std::size_t tries(QueryId q) const { return sends.count(q) ? sends.at(q).size() : 0; }
+  std::size_t attempt_count(QueryId q) const { return sends.count(q) ? sends.at(q).size() : 0; }
 
   Time now{Duration(1'000'000'000)};
   std::map<QueryId, std::vector<std::string>> sends;
-  std::vector<QueryId> order, cancels;
+  std::vector<QueryId> send_order, cancels;
   std::vector<std::string> probes;
-  std::map<QueryId, int> finals, refused, failed;
-  std::multimap<Time, std::uint64_t> wakes;
-  Duration advice{};
-  int follows = 0;
+  std::map<QueryId, int> final_answers, rejections, failures;
+  std::multimap<Time, std::uint64_t> timers;
+  Duration retry_after{};
+  int engine_list_watches = 0;
 
  private:
   AdmissionController controller_;
--- a/tests/unit/policy/ordering_and_budget_rules_test.cpp
+++ b/tests/unit/policy/ordering_and_budget_rules_test.cpp
@@ -12,17 +12,17 @@
   ManagerHarness manager(s);
   const OrderKey key{9};
   const auto p = manager.arrive(1, 8s, 100ms, 0, key), q = manager.arrive(2, 3s, 100ms, 0, key);
-  EXPECT_EQ(manager.tries(p), 1u);
-  EXPECT_EQ(manager.tries(q), 0u);
+  EXPECT_EQ(manager.attempt_count(p), 1u);
+  EXPECT_EQ(manager.attempt_count(q), 0u);
   manager.feed(ClientDisconnected{p});  // finished, but its attempt may still run
-  manager.pass(100ms);
-  EXPECT_EQ(manager.tries(q), 0u);
-  manager.end(p, Outcome::timed_out);
-  manager.pass(400ms);
-  EXPECT_EQ(manager.tries(q), 0u);
-  manager.pass(200ms);
-  EXPECT_EQ(manager.tries(q), 1u);
-  EXPECT_EQ(manager.tries(manager.arrive(3)), 1u);  // no key: not bound
+  manager.advance(100ms);
+  EXPECT_EQ(manager.attempt_count(q), 0u);
+  manager.end_attempt(p, Outcome::timed_out);
+  manager.advance(400ms);
+  EXPECT_EQ(manager.attempt_count(q), 0u);
+  manager.advance(200ms);
+  EXPECT_EQ(manager.attempt_count(q), 1u);
+  EXPECT_EQ(manager.attempt_count(manager.arrive(3)), 1u);  // no key: not bound
 }
 
 TEST(PlacementRule, KeepsClassesInTheirZonesAndKinds) {
@@ -32,7 +32,7 @@
   auto s = make_settings({zone, kind});
   s.zones = 2;
   s.kinds = {{4, 0}, {4, 0}};
-  auto a = engine("a"), b = engine("b"), d = engine("d");
+  auto a = make_engine("a"), b = make_engine("b"), d = make_engine("d");
   b.zone = ZoneId{1};
   d.kind = KindId{1};
   ManagerHarness manager(s, {a, b, d});
@@ -40,11 +40,11 @@
     for (const auto& where : manager.sends[manager.arrive(id, 5s, 100ms, 0)]) EXPECT_EQ(where, "b");
     for (const auto& where : manager.sends[manager.arrive(100 + id, 5s, 100ms, 1)]) EXPECT_EQ(where, "d");
   }
-  manager.list({engine("b", EngineState::gone)});
+  manager.update_engine_list({make_engine("b", EngineState::removed)});
   const auto q = manager.arrive(50, 5s, 100ms, 0);
-  EXPECT_EQ(manager.tries(q), 0u);
-  manager.pass(5s);
-  EXPECT_EQ(manager.finals[q], 1);
+  EXPECT_EQ(manager.attempt_count(q), 0u);
+  manager.advance(5s);
+  EXPECT_EQ(manager.final_answers[q], 1);
 }
 
 TEST(RetryBudgetRule, KeepsRetriesWithinTheBudget) {
@@ -54,13 +54,13 @@
   s.retry_budget_ratio = 0.1;
   s.retry_budget_window = 5s;
   std::vector<EngineEntry> engines;
-  for (int i = 0; i < 10; ++i) engines.push_back(engine("e" + std::to_string(i)));
+  for (int i = 0; i < 10; ++i) engines.push_back(make_engine("e" + std::to_string(i)));
   ManagerHarness manager(s, engines);
   std::size_t extra = 0;
   for (std::uint64_t id = 1; id <= 10; ++id) {
     const auto q = manager.arrive(id);
-    manager.end(q, Outcome::shed, 1ms);
-    extra += manager.tries(q) - 1;
+    manager.end_attempt(q, Outcome::shed, 1ms);
+    extra += manager.attempt_count(q) - 1;
   }
   EXPECT_GE(extra, 1u);
   EXPECT_LE(extra, 3u);
@@ -69,9 +69,9 @@
 TEST(AttemptRule, NeverExceedsTheMaximumOfAttempts) {
   ManagerHarness manager(make_settings());
   const auto q = manager.arrive(1);
-  for (int i = 0; i < 3; ++i) manager.end(q, Outcome::error, 1ms);
-  EXPECT_EQ(manager.tries(q), 3u);
-  EXPECT_EQ(manager.finals[q], 1);
+  for (int i = 0; i < 3; ++i) manager.end_attempt(q, Outcome::error, 1ms);
+  EXPECT_EQ(manager.attempt_count(q), 3u);
+  EXPECT_EQ(manager.final_answers[q], 1);
 }
 
 TEST(StreamRule, LeavesAStartedResponseToItsEnd) {
@@ -80,19 +80,19 @@
   ManagerHarness manager(make_settings({c}));
   const auto q = manager.arrive(1);
   manager.feed(ResponseStarted{q, AttemptNumber{0}, {manager.sends[q].front()}});
-  manager.pass(8s);
-  EXPECT_EQ(manager.tries(q), 1u);
-  EXPECT_EQ(manager.finals[q], 0);
+  manager.advance(8s);
+  EXPECT_EQ(manager.attempt_count(q), 1u);
+  EXPECT_EQ(manager.final_answers[q], 0);
 }
 
 TEST(EngineListRule, WatchesTheListOnRequestAndRetriesAFailure) {
   auto s = make_settings();
   s.engine_list_source = EngineListSource::on_request;
   ManagerHarness manager(s, {});
-  EXPECT_EQ(manager.follows, 1);
+  EXPECT_EQ(manager.engine_list_watches, 1);
   manager.feed(EngineList{EngineListKind::failed, {}});
-  manager.pass(1s);
-  EXPECT_EQ(manager.follows, 2);
+  manager.advance(1s);
+  EXPECT_EQ(manager.engine_list_watches, 2);
 }
 
 TEST(RejectionRule, TellsTheClientWhenToRetry) {
@@ -101,7 +101,7 @@
   s.max_retry_after = 2s;
   ManagerHarness manager(s);
   manager.arrive(1, 5s, 60s);
-  EXPECT_EQ(manager.advice, 2s);
+  EXPECT_EQ(manager.retry_after, 2s);
 }
 
 }  // namespace
--- a/tests/unit/policy/outlier_detector_test.cpp
+++ b/tests/unit/policy/outlier_detector_test.cpp
@@ -9,21 +9,21 @@
   std::uint64_t id = 1;
   for (; id < 12; ++id) {
     const auto q = manager.arrive(id);
-    while (!manager.finals[q])
-      manager.end(q, manager.sends[q].back() == "a" ? Outcome::error : Outcome::served);
+    while (!manager.final_answers[q])
+      manager.end_attempt(q, manager.sends[q].back() == "a" ? Outcome::error : Outcome::served);
   }
   int on_a = 0;
   for (; id < 20; ++id) {
     const auto q = manager.arrive(id);
     on_a += manager.sends[q].front() == "a";
-    manager.end(q, Outcome::served);
+    manager.end_attempt(q, Outcome::served);
   }
   EXPECT_EQ(on_a, 0);
-  manager.pass(10s);
+  manager.advance(10s);
   for (; id < 40; ++id) {
     const auto q = manager.arrive(id);
     on_a += manager.sends[q].front() == "a";
-    manager.end(q, Outcome::served);
+    manager.end_attempt(q, Outcome::served);
   }
   EXPECT_GT(on_a, 2);
 }
@@ -32,12 +32,13 @@
   ManagerHarness manager(make_settings());
   for (std::uint64_t id = 1; id < 60; id += 2) {
     const auto lost = manager.arrive(id), other = manager.arrive(id + 1);
-    manager.pass(50ms);
+    manager.advance(50ms);
     manager.feed(
         AttemptProgress{lost, AttemptNumber{0}, {manager.sends[lost].front()}, ProgressKind::progress, 0.5});
-    manager.end(other, Outcome::served);
-    manager.end(lost, Outcome::timed_out);
-    if (!manager.finals[lost] && manager.tries(lost) > 1) manager.end(lost, Outcome::served);
+    manager.end_attempt(other, Outcome::served);
+    manager.end_attempt(lost, Outcome::timed_out);
+    if (!manager.final_answers[lost] && manager.attempt_count(lost) > 1)
+      manager.end_attempt(lost, Outcome::served);
   }
   std::set<std::string> used;
   for (std::uint64_t id = 100; id < 102; ++id) used.insert(manager.sends[manager.arrive(id)].front());
@@ -48,13 +49,13 @@
   ManagerHarness manager(make_settings());
   for (std::uint64_t id = 1; id < 20; ++id) {
     const auto q = manager.arrive(id);
-    while (!manager.finals[q] && manager.tries(q) > 0) {
-      const auto before = manager.tries(q);
-      manager.end(q, Outcome::unreachable, 1ms);
-      if (manager.tries(q) == before) break;
+    while (!manager.final_answers[q] && manager.attempt_count(q) > 0) {
+      const auto before = manager.attempt_count(q);
+      manager.end_attempt(q, Outcome::unreachable, 1ms);
+      if (manager.attempt_count(q) == before) break;
     }
   }
-  EXPECT_EQ(manager.tries(manager.arrive(100)), 1u);  // still sent somewhere
+  EXPECT_EQ(manager.attempt_count(manager.arrive(100)), 1u);  // still sent somewhere
 }
 
 TEST(OutlierDetector, CancelsTheQueriesOfASilentEngine) {
@@ -64,33 +65,33 @@
   ManagerHarness manager(s);
   const auto p = manager.arrive(1, 15s, 4s), q = manager.arrive(2, 15s, 4s);
   for (int i = 0; i < 8; ++i) {
-    manager.pass(500ms);
+    manager.advance(500ms);
     manager.feed(AttemptProgress{
         q, AttemptNumber{0}, {manager.sends[q].front()}, ProgressKind::progress, 0.12 * (i + 1)});
   }
   EXPECT_NE(std::find(manager.cancels.begin(), manager.cancels.end(), p), manager.cancels.end());
-  manager.end(p, Outcome::cancelled);
-  ASSERT_EQ(manager.tries(p), 2u);
+  manager.end_attempt(p, Outcome::cancelled);
+  ASSERT_EQ(manager.attempt_count(p), 2u);
   EXPECT_EQ(manager.sends[p].back(), manager.sends[q].front());
 }
 
 TEST(OutlierDetector, IgnoresAnswersToSendsFromBeforeTheEjection) {
   auto s = make_settings();
   s.kinds = {{64, 0}};
-  ManagerHarness manager(s, {engine("a"), engine("b"), engine("c")});
+  ManagerHarness manager(s, {make_engine("a"), make_engine("b"), make_engine("c")});
   std::vector<QueryId> on_a;  // an engine that fails most, and answers one old query
   std::uint64_t id = 1;
   for (; on_a.size() < 6 && id < 60; ++id) {
     const auto q = manager.arrive(id);
-    if (manager.tries(q) && manager.sends[q].front() == "a") on_a.push_back(q);
+    if (manager.attempt_count(q) && manager.sends[q].front() == "a") on_a.push_back(q);
   }
   ASSERT_EQ(on_a.size(), 6u);
-  for (int i = 0; i < 5; ++i) manager.end(on_a[i], Outcome::error, 5ms);
-  manager.end(on_a[5], Outcome::served, 50ms);
+  for (int i = 0; i < 5; ++i) manager.end_attempt(on_a[i], Outcome::error, 5ms);
+  manager.end_attempt(on_a[5], Outcome::served, 50ms);
   int back = 0;
   for (const auto end = id + 10; id < end; ++id) {
     const auto q = manager.arrive(id);
-    ASSERT_EQ(manager.tries(q), 1u);
+    ASSERT_EQ(manager.attempt_count(q), 1u);
     back += manager.sends[q].front() == "a";
   }
   EXPECT_EQ(back, 0);
@@ -103,12 +104,12 @@
   int full = 0;
   for (std::uint64_t id = 1; id <= 50; ++id) {  // "a" turns away at once and so looks idle
     const auto q = manager.arrive(id);
-    while (!manager.finals[q]) {
+    while (!manager.final_answers[q]) {
       const bool on_a = manager.sends[q].back() == "a";
       full += on_a;
-      manager.end(q, on_a ? Outcome::shed : Outcome::served, 1ms);
+      manager.end_attempt(q, on_a ? Outcome::shed : Outcome::served, 1ms);
     }
-    manager.pass(10ms);
+    manager.advance(10ms);
   }
   EXPECT_GE(full, 1);
   EXPECT_LE(full, 5);
@@ -116,21 +117,21 @@
 
 TEST(OutlierDetector, ForgetsAnEngineThatIsGoneForLong) {
   const auto tries_after = [](Duration away) {
-    ManagerHarness manager(make_settings(), {engine("a")});
+    ManagerHarness manager(make_settings(), {make_engine("a")});
     std::uint64_t id = 0;
     for (int i = 0; i < 6; ++i) {  // full each time: the wait for it grows
       const auto q = manager.arrive(++id);
-      manager.end(q, Outcome::shed);
+      manager.end_attempt(q, Outcome::shed);
       manager.feed(ClientDisconnected{q});
-      manager.pass(7s);
+      manager.advance(7s);
     }
-    manager.list({engine("a", EngineState::gone)});
-    manager.pass(away);
-    manager.list({engine("a")});
+    manager.update_engine_list({make_engine("a", EngineState::removed)});
+    manager.advance(away);
+    manager.update_engine_list({make_engine("a")});
     const auto q = manager.arrive(++id);
-    manager.end(q, Outcome::shed);
-    manager.pass(300ms);
-    return manager.tries(q);
+    manager.end_attempt(q, Outcome::shed);
+    manager.advance(300ms);
+    return manager.attempt_count(q);
   };
   EXPECT_EQ(tries_after(30s), 1u);
   EXPECT_EQ(tries_after(62s), 2u);
@@ -142,10 +143,10 @@
   s.may_cancel = true;
   s.may_probe = true;
   const auto cancelled = [&](bool answers) {
-    ManagerHarness manager(s, {engine("a")});
+    ManagerHarness manager(s, {make_engine("a")});
     manager.arrive(1, 60s, 1s);
     for (int i = 0; i < 70; ++i) {  // past four estimates and the shortest silence
-      manager.pass(100ms);
+      manager.advance(100ms);
       for (const auto& name : manager.probes) {
         if (answers) manager.feed(ProbeEnded{{name}, Outcome::served, 1ms, {}});
       }
--- a/tests/unit/policy/peer_load_test.cpp
+++ b/tests/unit/policy/peer_load_test.cpp
@@ -9,7 +9,7 @@
   auto s = make_settings({make_class(2s, 8s)});
   s.manager_count = 100;
   s.kinds = {{8, 0}};
-  s.load_report_source = LoadReportSource::answers;
+  s.load_report_source = LoadReportSource::responses;
   s.load_report_fields = {LoadReportField::inflight};
   return s;
 }
@@ -22,28 +22,28 @@
 // full.
 TEST(PeerLoad, CountsAnEngineOnceInTheMeanHoweverOftenItAnswers) {
   std::vector<EngineEntry> all;
-  for (const char* name : {"a", "b", "c", "d", "e", "f", "g", "h"}) all.push_back(engine(name));
+  for (const char* name : {"a", "b", "c", "d", "e", "f", "g", "h"}) all.push_back(make_engine(name));
   ManagerHarness manager(seldom_met(), all);
   for (const char* name : {"c", "d", "e", "f", "g", "h"}) {
     report_load(manager, name, 4);
-    for (int i = 0; i < 20; ++i) report_load(manager, i % 2 ? "a" : "b", 40), manager.pass(10ms);
+    for (int i = 0; i < 20; ++i) report_load(manager, i % 2 ? "a" : "b", 40), manager.advance(10ms);
   }
-  manager.pass(5s);  // nothing is fresh any more
+  manager.advance(5s);  // nothing is fresh any more
   const auto q = manager.arrive(1, 8s);
-  manager.pass(1s);
-  EXPECT_EQ(manager.tries(q), 1u);
+  manager.advance(1s);
+  EXPECT_EQ(manager.attempt_count(q), 1u);
 }
 
 TEST(PeerLoad, ForgetsOldReportsOfACrowdedEngine) {
-  ManagerHarness manager(seldom_met(), {engine("a"), engine("b")});
+  ManagerHarness manager(seldom_met(), {make_engine("a"), make_engine("b")});
   for (int i = 0; i < 30; ++i) report_load(manager, i % 2 ? "a" : "b", 40);
   const auto at_once = manager.arrive(1, 8s);
-  manager.pass(1s);
-  EXPECT_EQ(manager.tries(at_once), 0u);  // full, as it was told
-  manager.pass(40s);
+  manager.advance(1s);
+  EXPECT_EQ(manager.attempt_count(at_once), 0u);  // full, as it was told
+  manager.advance(40s);
   const auto later = manager.arrive(2, 8s);
-  manager.pass(1s);
-  EXPECT_EQ(manager.tries(later), 1u);
+  manager.advance(1s);
+  EXPECT_EQ(manager.attempt_count(later), 1u);
 }
 
 TEST(PeerLoad, DoesNotPresumeAWarmingEngineCrowded) {
@@ -53,16 +53,16 @@
   s.slow_start_initial_ratio = 0.4;
   s.cold_overload_multiple = 2.5;
   s.cold_overload_window = 3s;
-  ManagerHarness manager(s, {engine("a")});
+  ManagerHarness manager(s, {make_engine("a")});
   for (int i = 0; i < 30; ++i) report_load(manager, "a", 40);
-  auto cold = engine("b");
+  auto cold = make_engine("b");
   cold.start_time = manager.now;
-  manager.list({cold});
-  manager.pass(4s);
+  manager.update_engine_list({cold});
+  manager.advance(4s);
   report_load(manager, "a", 40);
   const auto q = manager.arrive(1, 8s);
-  manager.pass(1s);
-  EXPECT_EQ(manager.tries(q), 1u);
+  manager.advance(1s);
+  EXPECT_EQ(manager.attempt_count(q), 1u);
 }
 
 TEST(PeerLoad, CountsAnnouncedQueriesAndIgnoresDamagedMessages) {
@@ -95,15 +95,15 @@
     manager.feed(PeerMessage{ManagerId{1}, std::string(t.size(), '\xff')});
   }
   const auto big = arrive(manager, 99, 600);  // fits beside neither of the peer's two
-  EXPECT_EQ(manager.tries(big), 0u);
-  EXPECT_EQ(manager.finals[big], 0);
+  EXPECT_EQ(manager.attempt_count(big), 0u);
+  EXPECT_EQ(manager.final_answers[big], 0);
   AttemptEnded end{on_one, AttemptNumber{0}, {peer.sends[on_one].front()}, Outcome::served, 100ms, true, {}};
   for (const Action& a : peer.feed(end)) {
     if (const auto* t = std::get_if<BroadcastToPeers>(&a))
       manager.feed(PeerMessage{ManagerId{1}, t->payload});
   }
-  manager.pass(200ms);
-  ASSERT_EQ(manager.tries(big), 1u);
+  manager.advance(200ms);
+  ASSERT_EQ(manager.attempt_count(big), 1u);
   EXPECT_EQ(manager.sends[big].front(), peer.sends[on_one].front());
 }
 
--- a/tests/unit/policy/random_days_test.cpp
+++ b/tests/unit/policy/random_days_test.cpp
@@ -103,7 +103,7 @@
   };
   std::vector<EngineEntry> all;
   for (int i = 0; i < 5; ++i) {
-    auto e = engine("e" + std::to_string(i));
+    auto e = make_engine("e" + std::to_string(i));
     e.zone = ZoneId{static_cast<std::uint32_t>(i % 2)};
     e.kind = KindId{static_cast<std::uint32_t>(i / 2 % 2)};
     e.cell = CellId{static_cast<std::uint64_t>(i % 3)};
@@ -114,9 +114,9 @@
   const Time end = front.now + 20s;
   while (front.now < end) {
     front.now += 5ms;
-    while (!front.wakes.empty() && front.wakes.begin()->first <= front.now) {
-      const auto token = front.wakes.begin()->second;
-      front.wakes.erase(front.wakes.begin());
+    while (!front.timers.empty() && front.timers.begin()->first <= front.now) {
+      const auto token = front.timers.begin()->second;
+      front.timers.erase(front.timers.begin());
       take(front.feed(TimerFired{token}));
     }
     const bool quiet = front.now > end - 8s;  // all must be answered by the end
@@ -159,7 +159,7 @@
       if (random() % 8 == 0) {  // a gap, then the whole list
         std::vector<EngineEntry> some;
         for (const auto& x : all) {
-          if (x.state != EngineState::gone || blind) some.push_back(x);
+          if (x.state != EngineState::removed || blind) some.push_back(x);
         }
         auto full = list(some, EngineListKind::full);
         if (blind)
--- a/tests/unit/policy/send_rules_test.cpp
+++ b/tests/unit/policy/send_rules_test.cpp
@@ -8,29 +8,29 @@
 TEST(FinalAnswerRule, AnswersOnceBeforeTheDeadlineWithoutEngines) {
   ManagerHarness manager(make_settings(), {});
   const auto q = manager.arrive(1, 2s);
-  manager.pass(2s);
-  EXPECT_EQ(manager.finals[q], 1);
-  manager.pass(3s);
-  EXPECT_EQ(manager.finals[q], 1);
+  manager.advance(2s);
+  EXPECT_EQ(manager.final_answers[q], 1);
+  manager.advance(3s);
+  EXPECT_EQ(manager.final_answers[q], 1);
 }
 
 TEST(FinalAnswerRule, AnswersATimeoutAtTheDeadlineAtOnce) {
   ManagerHarness manager(make_settings());
   const auto q = manager.arrive(1, 2s);
-  manager.pass(2s);
-  EXPECT_EQ(manager.finals[q], 0);
-  manager.end(q, Outcome::timed_out, 2s);
-  EXPECT_EQ(manager.finals[q], 1);
-  EXPECT_EQ(manager.tries(q), 1u);
+  manager.advance(2s);
+  EXPECT_EQ(manager.final_answers[q], 0);
+  manager.end_attempt(q, Outcome::timed_out, 2s);
+  EXPECT_EQ(manager.final_answers[q], 1);
+  EXPECT_EQ(manager.attempt_count(q), 1u);
 }
 
 TEST(FinalAnswerRule, IgnoresAnOutcomeAfterTheClientDisconnected) {
   ManagerHarness manager(make_settings());
   const auto q = manager.arrive(1);
   manager.feed(ClientDisconnected{q});
-  manager.end(q, Outcome::error);
-  EXPECT_EQ(manager.tries(q), 1u);
-  EXPECT_EQ(manager.finals[q], 0);
+  manager.end_attempt(q, Outcome::error);
+  EXPECT_EQ(manager.attempt_count(q), 1u);
+  EXPECT_EQ(manager.final_answers[q], 0);
 }
 
 TEST(FinalAnswerRule, DoesNotWaitForProbesWithLittleTimeLeft) {
@@ -40,11 +40,11 @@
   s.load_report_source = LoadReportSource::probes;
   s.load_report_fields = {LoadReportField::inflight};
   ManagerHarness manager(s);
-  manager.pass(10ms);  // between two ticks
+  manager.advance(10ms);  // between two ticks
   const auto q = manager.arrive(1, 5ms);
-  manager.pass(5ms + s.answer_slack);  // no probe is answered
-  if (manager.tries(q)) manager.end(q, Outcome::timed_out, 5ms);
-  EXPECT_EQ(manager.finals[q], 1);
+  manager.advance(5ms + s.answer_slack);  // no probe is answered
+  if (manager.attempt_count(q)) manager.end_attempt(q, Outcome::timed_out, 5ms);
+  EXPECT_EQ(manager.final_answers[q], 1);
 }
 
 TEST(IdempotencyRule, RetriesNonIdempotentQueriesOnlyIfTheyNeverRan) {
@@ -52,27 +52,27 @@
   c.idempotency = Idempotency::non_idempotent;
   ManagerHarness manager(make_settings({c}));
   const auto q = manager.arrive(1);
-  manager.end(q, Outcome::unreachable);
-  EXPECT_EQ(manager.tries(q), 2u);
-  manager.end(q, Outcome::reset);
-  EXPECT_EQ(manager.tries(q), 2u);
-  EXPECT_EQ(manager.failed[q], 1);  // a refusal would promise too much
+  manager.end_attempt(q, Outcome::unreachable);
+  EXPECT_EQ(manager.attempt_count(q), 2u);
+  manager.end_attempt(q, Outcome::reset);
+  EXPECT_EQ(manager.attempt_count(q), 2u);
+  EXPECT_EQ(manager.failures[q], 1);  // a refusal would promise too much
 }
 
 TEST(IdempotencyRule, KeepsKeyedRetriesInTheirCell) {
   auto c = make_class();
   c.idempotency = Idempotency::keyed;
   c.deduplication_scope = DeduplicationScope::cell;
-  auto a = engine("a"), b = engine("b"), d = engine("d");
+  auto a = make_engine("a"), b = make_engine("b"), d = make_engine("d");
   a.cell = d.cell = CellId{1};
   b.cell = CellId{2};
   for (std::uint64_t id = 1; id <= 12; ++id) {
     ManagerHarness manager(make_settings({c}), {a, b, d});
     for (std::uint64_t k = 1; k < id; ++k) manager.arrive(100 + k);
     const auto q = manager.arrive(id);
-    if (!manager.tries(q)) continue;
-    manager.end(q, Outcome::reset);
-    if (manager.tries(q) < 2) continue;
+    if (!manager.attempt_count(q)) continue;
+    manager.end_attempt(q, Outcome::reset);
+    if (manager.attempt_count(q) < 2) continue;
     EXPECT_EQ(manager.sends[q][0] == "b", manager.sends[q][1] == "b");
   }
 }
@@ -81,14 +81,14 @@
   auto c = make_class();
   c.idempotency = Idempotency::keyed;
   c.deduplication_scope = DeduplicationScope::zone;
-  auto a = engine("a"), b = engine("b");
+  auto a = make_engine("a"), b = make_engine("b");
   b.zone = ZoneId{1};
   auto s = make_settings({c});
   s.zones = 2;
   ManagerHarness manager(s, {a, b});
   const auto q = manager.arrive(1);
-  manager.end(q, Outcome::reset);
-  ASSERT_EQ(manager.tries(q), 2u);
+  manager.end_attempt(q, Outcome::reset);
+  ASSERT_EQ(manager.attempt_count(q), 2u);
   EXPECT_EQ(manager.sends[q][0], manager.sends[q][1]);
 }
 
@@ -97,23 +97,23 @@
   c.idempotency = Idempotency::keyed;
   ManagerHarness manager(make_settings({c}));
   const auto q = manager.arrive(1, 20s);
-  manager.pass(3100ms);
-  manager.end(q, Outcome::reset);
-  EXPECT_EQ(manager.tries(q), 1u);
-  EXPECT_EQ(manager.refused[q], 1);  // group everywhere: a refusal is allowed
+  manager.advance(3100ms);
+  manager.end_attempt(q, Outcome::reset);
+  EXPECT_EQ(manager.attempt_count(q), 1u);
+  EXPECT_EQ(manager.rejections[q], 1);  // group everywhere: a refusal is allowed
 }
 
 TEST(IdempotencyRule, RunsOneAttemptAtATime) {
   ManagerHarness manager(make_settings());
   const auto q = manager.arrive(1);
-  manager.pass(4s);
-  EXPECT_EQ(manager.tries(q), 1u);
+  manager.advance(4s);
+  EXPECT_EQ(manager.attempt_count(q), 1u);
 }
 
 TEST(DrainRule, SendsNothingToADrainingOrGoneEngine) {
-  for (const auto state : {EngineState::draining, EngineState::gone}) {
+  for (const auto state : {EngineState::draining, EngineState::removed}) {
     ManagerHarness manager(make_settings());
-    manager.list({engine("a", state)});
+    manager.update_engine_list({make_engine("a", state)});
     for (std::uint64_t id = 1; id <= 20; ++id) {
       const auto q = manager.arrive(id);
       for (const auto& where : manager.sends[q]) EXPECT_EQ(where, "b");
@@ -123,7 +123,7 @@
 
 TEST(DrainRule, TakesAnEngineMissingFromAFullListAsGone) {
   ManagerHarness manager(make_settings());
-  manager.list({engine("b")}, EngineListKind::full);
+  manager.update_engine_list({make_engine("b")}, EngineListKind::full);
   for (std::uint64_t id = 1; id <= 20; ++id) {
     for (const auto& where : manager.sends[manager.arrive(id)]) EXPECT_EQ(where, "b");
   }
@@ -131,12 +131,12 @@
 
 TEST(DrainRule, QueuesOnAnEmptyListUntilALaterOne) {
   ManagerHarness manager(make_settings());
-  manager.list({}, EngineListKind::full);
+  manager.update_engine_list({}, EngineListKind::full);
   const auto q = manager.arrive(1);
-  EXPECT_EQ(manager.tries(q), 0u);
-  EXPECT_EQ(manager.finals[q], 0);
-  manager.list({engine("b")}, EngineListKind::full);
-  EXPECT_EQ(manager.tries(q), 1u);
+  EXPECT_EQ(manager.attempt_count(q), 0u);
+  EXPECT_EQ(manager.final_answers[q], 0);
+  manager.update_engine_list({make_engine("b")}, EngineListKind::full);
+  EXPECT_EQ(manager.attempt_count(q), 1u);
 }
 
 }  // namespace
--- a/tests/unit/policy/slow_start_budget_test.cpp
+++ b/tests/unit/policy/slow_start_budget_test.cpp
@@ -65,7 +65,7 @@
       if (step == 0) tell(0, late());
       if (step == static_cast<std::size_t>(3s / kStep)) tell(late(), managers_.size());
       arrive();
-      for (auto& front : managers_) front->pass(kStep);
+      for (auto& front : managers_) front->advance(kStep);
       for (std::size_t i = 0; i < managers_.size(); ++i) take_sends(i);
       now_ += kStep;
     }
@@ -79,9 +79,9 @@
            static_cast<std::size_t>(play_.notified_late * static_cast<double>(managers_.size()));
   }
   void tell(std::size_t from, std::size_t until) {
-    EngineEntry entry = engine("cold");
+    EngineEntry entry = make_engine("cold");
     entry.start_time = start_;
-    for (std::size_t i = from; i < until; ++i) managers_[i]->list({entry});
+    for (std::size_t i = from; i < until; ++i) managers_[i]->update_engine_list({entry});
   }
   double uniform() { return std::uniform_real_distribution<double>(0, 1)(draw_); }
   double work() {  // a log-normal of this mean: many above it
@@ -102,9 +102,9 @@
   // Answered at once, so that room at the engine holds nobody back: only the budget does.
   void take_sends(std::size_t i) {
     ManagerHarness& front = *managers_[i];
-    while (!front.order.empty()) {
-      const QueryId query = front.order.back();
-      front.order.pop_back();
+    while (!front.send_order.empty()) {
+      const QueryId query = front.send_order.back();
+      front.send_order.pop_back();
       const double own = works_.at(static_cast<std::size_t>(query) - 1);
       const auto took = Duration(static_cast<Duration::rep>(own * 1e9));
       front.feed(AttemptEnded{query, AttemptNumber{0}, {"cold"}, Outcome::served, took, true, {}, took, 0});
--- a/tests/unit/policy/slow_start_rules_test.cpp
+++ b/tests/unit/policy/slow_start_rules_test.cpp
@@ -18,18 +18,18 @@
 
 TEST(SlowStartRule, KeepsWorkToAColdEngineUnderItsBudget) {
   const auto s = cold_settings();
-  auto a = engine("a");
+  auto a = make_engine("a");
   ManagerHarness manager(s, {});
   a.start_time = manager.now;
-  manager.list({a});
+  manager.update_engine_list({a});
   for (std::uint64_t id = 1; id <= 200; ++id) {  // one second of short queries, all answered at once
     manager.arrive(id, 10s, 100ms);
-    while (!manager.order.empty()) {
-      const auto q = manager.order.back();
-      manager.order.pop_back();
-      if (!manager.finals[q]) manager.end(q, Outcome::served, 100ms);
+    while (!manager.send_order.empty()) {
+      const auto q = manager.send_order.back();
+      manager.send_order.pop_back();
+      if (!manager.final_answers[q]) manager.end_attempt(q, Outcome::served, 100ms);
     }
-    manager.pass(5ms);
+    manager.advance(5ms);
   }
   const double sent = 0.1 * static_cast<double>(manager.sends.size());
   EXPECT_GT(sent, 0.2);
@@ -40,21 +40,22 @@
   auto s = cold_settings();
   s.manager_count = 200;
   s.kinds = {{16, 0}};
-  auto a = engine("a");
+  auto a = make_engine("a");
   std::vector<std::unique_ptr<ManagerHarness>> managers;
   for (std::uint64_t i = 0; i < s.manager_count; ++i) {
     managers.push_back(std::make_unique<ManagerHarness>(s, std::vector<EngineEntry>{}, i + 1));
     a.start_time = managers[i]->now;
-    managers[i]->list({a});
+    managers[i]->update_engine_list({a});
   }
   std::vector<std::size_t> by_tick;  // sends of all managers together
   for (std::uint64_t tick = 0; tick < 100; ++tick) {
     std::size_t sends = 0;
     for (auto& f : managers) {
-      const auto before = f->order.size();
+      const auto before = f->send_order.size();
       if (tick % 20 == 0) f->arrive(tick + 1, 10s, 100ms);
-      f->pass(20ms);
-      for (std::size_t k = before; k < f->order.size(); ++k) f->end(f->order[k], Outcome::served), ++sends;
+      f->advance(20ms);
+      for (std::size_t k = before; k < f->send_order.size(); ++k)
+        f->end_attempt(f->send_order[k], Outcome::served), ++sends;
     }
     by_tick.push_back(sends);
   }
@@ -78,25 +79,25 @@
   s.kinds = {{16, 0}};
   s.reports_cost = true;
   const auto sent_after = [&](Duration took) {
-    ManagerHarness manager(s, {engine("a")});
+    ManagerHarness manager(s, {make_engine("a")});
     std::uint64_t id = 1;
     for (; id <= 60; ++id) {
       const auto q = manager.arrive(id, 60s, 100ms);
-      manager.pass(took);
-      if (manager.tries(q) > 0)
+      manager.advance(took);
+      if (manager.attempt_count(q) > 0)
         manager.feed(AttemptEnded{q, AttemptNumber{0}, {"a"}, Outcome::served, took, true, {}, 100ms, 64});
     }
-    auto cold = engine("b");
+    auto cold = make_engine("b");
     cold.start_time = manager.now;
-    manager.list({engine("a", EngineState::draining), cold});
-    manager.order.clear();
+    manager.update_engine_list({make_engine("a", EngineState::draining), cold});
+    manager.send_order.clear();
     std::size_t sent = 0;
     for (int i = 0; i < 200; ++i) {
       manager.arrive(id++, 60s, 100ms);
-      manager.pass(50ms);
-      while (!manager.order.empty()) {
-        const auto q = manager.order.back();
-        manager.order.pop_back();
+      manager.advance(50ms);
+      while (!manager.send_order.empty()) {
+        const auto q = manager.send_order.back();
+        manager.send_order.pop_back();
         manager.feed(AttemptEnded{q, AttemptNumber{0}, {"b"}, Outcome::served, took, true, {}, 100ms, 64});
         ++sent;
       }
@@ -110,14 +111,14 @@
 
 TEST(SlowStartRule, TreatsARestartUnderTheSameIdAsCold) {
   const auto s = cold_settings();
-  ManagerHarness manager(s, {engine("a")});
-  auto again = engine("a");
+  ManagerHarness manager(s, {make_engine("a")});
+  auto again = make_engine("a");
   again.start_time = manager.now;
-  manager.list({again});
+  manager.update_engine_list({again});
   std::size_t sent = 0;
   for (std::uint64_t id = 1; id <= 100; ++id) {
     const auto q = manager.arrive(id, 10s, 100ms);
-    if (manager.tries(q)) ++sent, manager.end(q, Outcome::served, 100ms);
+    if (manager.attempt_count(q)) ++sent, manager.end_attempt(q, Outcome::served, 100ms);
   }
   EXPECT_LE(sent, 18u);
 }
--- a/tests/unit/policy/table_group_locks_test.cpp
+++ b/tests/unit/policy/table_group_locks_test.cpp
@@ -8,12 +8,12 @@
   auto reader = make_class(), load = make_class(3s, 20s);
   reader.waits_for_table_group = true;
   load.locks_table_group = true;
-  ManagerHarness manager(make_settings({reader, load}), {engine("a"), engine("b")});
+  ManagerHarness manager(make_settings({reader, load}), {make_engine("a"), make_engine("b")});
   const auto l = manager.arrive(1, 20s, 2s, 1);
   int behind = 0;
   for (std::uint64_t id = 2; id < 8; ++id) {
     const auto q = manager.arrive(id, 5s, 100ms, 0);
-    behind += manager.tries(q) && manager.sends[q].front() == manager.sends[l].front();
+    behind += manager.attempt_count(q) && manager.sends[q].front() == manager.sends[l].front();
   }
   EXPECT_EQ(behind, 0);
 }
