--- a/include/yokestream/policy/actions.h
+++ b/include/yokestream/policy/actions.h
@@ -1,4 +1,5 @@
-// What the decision module asks for (admission_controller.h). Plain values.
+// The actions that an AdmissionController asks its caller to carry out (admission_controller.h). Plain
+// values.
 #pragma once
 
 #include <cstdint>
@@ -9,36 +10,43 @@
 
 namespace yokestream::policy {
 
-struct Send {  // the next attempt of a query
+// Starts the next attempt of a query.
+struct Send {
   QueryId query{};
   EngineId engine;
-  Duration timeout{};  // 0: until the client gives up
+  Duration timeout{};  // 0: until the client's deadline
 };
 struct Cancel {
   QueryId query{};
   AttemptNumber attempt{};
 };
-struct Reject {  // final: trying again is harmless
+// Final answer. The client can safely retry: the query did not run, or it may run twice.
+struct Reject {
   QueryId query{};
   Duration retry_after{};  // 0: no advice
 };
-struct Fail {  // final: it may have run, and trying again may run it twice
+// Final answer. The query may have run, so a retry by the client may run it twice.
+struct Fail {
   QueryId query{};
 };
-struct SetExecutionTerms {  // for the query's next Send; the priority also for attempts in flight
+// Applies to the query's next Send; the priority also applies to attempts that are in flight.
+struct SetExecutionTerms {
   QueryId query{};
-  double memory_grant_mb = 0;  // 0: the engine's choice
+  double memory_grant_mb = 0;  // 0: the engine decides
   std::uint32_t priority = 1;  // 0 to 3, higher is served first
 };
 struct Probe {
   EngineId engine;
 };
 struct BroadcastToPeers {
-  std::string payload;  // to every other manager
-};
-struct WatchEngineList {};  // ask to be told of changes to the engine list
-struct FetchEngineList {};  // ask for the whole list once
-struct StartTimer {         // answered by TimerFired with this token
+  std::string payload;  // sent to every other manager
+};
+// Subscribes to changes of the engine list.
+struct WatchEngineList {};
+// Requests the full engine list once.
+struct FetchEngineList {};
+// Requests a TimerFired event with this token after the delay.
+struct StartTimer {
   Duration delay{};
   std::uint64_t token = 0;
 };
--- a/include/yokestream/policy/admission_controller.h
+++ b/include/yokestream/policy/admission_controller.h
@@ -1,12 +1,13 @@
 // Admission control for queries on a pool of engines.
 //
-// Feed every event that a workload manager sees to AdmissionController::handle() and carry out the actions it
-// appends, in order.
-//  - Times are points on the caller's clock (nanoseconds, any origin, never backwards).
-//  - The controller owns its state and nothing else: no clock, thread, file, socket or global. The same
+// Pass every event that a workload manager sees to AdmissionController::handle() and carry out the actions
+// that it appends, in order.
+//  - Times are points on the caller's clock, in nanoseconds. Its origin is arbitrary; it must not go
+//  backwards.
+//  - The controller is deterministic: it uses no clock, thread, file, socket or global state, so the same
 //    settings, seed and events give the same actions.
-//  - One controller may be used by one thread at a time; two share nothing.
-//  - Events about queries or engines that the controller does not know are ignored.
+//  - A controller is not thread-safe. Separate controllers share no state.
+//  - Events about unknown queries or engines are ignored.
 #pragma once
 
 #include <cstddef>
@@ -23,26 +24,28 @@
 
 class AdmissionController {
  public:
-  // Throws std::invalid_argument, naming the setting, where the settings make no sense.
+  // Throws std::invalid_argument, with the name of the setting, if the settings are invalid.
   AdmissionController(const Settings& settings, std::uint64_t seed, Time now);
   ~AdmissionController();
   AdmissionController(AdmissionController&&) noexcept;
   AdmissionController& operator=(AdmissionController&&) noexcept;
 
-  // Takes one event and appends what is to be done to `actions`. `now` must not lie before that of the last
-  // call. Throws std::invalid_argument for an arriving query whose class or tenant the settings do not have.
+  // Handles one event and appends the resulting actions to `actions`. `now` must not be earlier than in the
+  // previous call. Throws std::invalid_argument if a query arrives whose class or tenant is not configured.
   void handle(Time now, const Event& event, std::vector<Action>& actions);
-  // Engines that the list names and that get no query now: they drain, are ejected, or were saturated.
+  // Number of listed engines that currently receive no queries: draining, ejected, or backing off after they
+  // shed a query.
   std::size_t unavailable_engines() const;
 
-  // What was learned so far, for another process.
+  // Snapshot of the learned estimates, for a process that takes over from this one.
   LearnedState learned_state() const;
-  // Takes over what another process had learned `age` ago, on the same clock; before the first event. False,
-  // and nothing changes: it does not fit the settings (another number of classes or kinds, a number that
-  // makes no sense), or events have come. An engine that was started since begins as its kind.
+  // Restores a snapshot that another process took `age` ago on the same clock. Must be called before the
+  // first event. Returns false and changes nothing if an event was already handled or the snapshot does not
+  // fit the settings (different number of classes or kinds, or an invalid number). An engine that has
+  // restarted since the snapshot starts with the estimates of its kind.
   bool restore(const LearnedState& state, Duration age);
-  // From now on this manager carries at least one over `manager_count` of the load (1 or more, else nothing
-  // is defined); until then that is Settings::manager_count. For managers that come and go.
+  // Updates the number of managers that share the engines, initially Settings::manager_count. This manager
+  // assumes that it carries at least 1 / `manager_count` of the load. Behavior is undefined below 1.
   void set_manager_count(double manager_count);
 
  private:
--- a/include/yokestream/policy/events.h
+++ b/include/yokestream/policy/events.h
@@ -1,4 +1,4 @@
-// What the decision module is told (admission_controller.h). Plain values.
+// The events that an AdmissionController handles (admission_controller.h). Plain values.
 #pragma once
 
 #include <bitset>
@@ -12,7 +12,7 @@
 
 namespace yokestream::policy {
 
-// Sets of engines, by the slots that the engine list gives them.
+// A set of engines, indexed by the slots that the engine list assigns.
 inline constexpr std::size_t kMaxEngineSlots = 1024;
 using EngineSet = std::bitset<kMaxEngineSlots>;
 
@@ -24,14 +24,14 @@
   CellId cell{};
   EngineState state = EngineState::up;
   double weight = 1;
-  std::optional<Time> start_time;  // its last start; nullopt: long ago
-  std::uint32_t slot = 0;          // in an EngineSet; kMaxEngineSlots or more: in none
+  std::optional<Time> start_time;  // its last start; nullopt: long ago, or not known
+  std::uint32_t slot = 0;          // index into an EngineSet; kMaxEngineSlots or more: in no set
 };
 enum class EngineListKind {
-  delta,   // changes to what was told before
-  full,    // the whole list
-  cached,  // the whole list as an earlier process knew it
-  failed   // the list could not be had
+  delta,   // changes since the previous list
+  full,    // the complete list
+  cached,  // the complete list as an earlier process stored it
+  failed   // the list could not be obtained
 };
 struct EngineList {
   EngineListKind kind = EngineListKind::full;
@@ -44,27 +44,28 @@
   TenantId tenant{};
   TableGroupId table_group{};
   std::optional<OrderKey> order_key;
-  double memory_mb = 0;                       // estimate; 0: not told
-  std::optional<Duration> work;               // estimate: all its threads' work as one thread's time
-  Duration time_left{};                       // until its client gives up
-  bool is_retry = false;                      // the client's, of an earlier request
-  std::optional<EngineSet> eligible_engines;  // it may go to these alone; nullopt: to any
+  double memory_mb = 0;                       // estimate; 0: unknown
+  std::optional<Duration> work;               // estimate: time on a single thread
+  Duration time_left{};                       // until the client's deadline
+  bool is_retry = false;                      // the client retries an earlier request
+  std::optional<EngineSet> eligible_engines;  // nullopt: any engine
 };
-// The engines that a query may go to have changed. What is in flight goes on; with none left the query is
-// rejected.
+// The engines that may run a query have changed. Attempts in flight continue. A query that is not in flight
+// is rejected if no engine is left.
 struct EligibilityChanged {
   QueryId query{};
   std::optional<EngineSet> eligible_engines;
 };
-struct ClientDisconnected {  // or it cancelled the query: nobody waits for the answer
+// The client disconnected or cancelled the query and no longer waits for the response.
+struct ClientDisconnected {
   QueryId query{};
 };
 
 enum class Outcome {
   served,
   error,        // may have run
-  shed,         // never ran: the engine turned it away
-  timed_out,    // may run still
+  shed,         // never ran: the engine refused it because of load
+  timed_out,    // may still be running
   unreachable,  // never ran
   reset,        // may have run
   cancelled,    // may have run
@@ -76,10 +77,10 @@
   EngineId engine;
   Outcome outcome = Outcome::served;
   Duration elapsed{};
-  bool query_finished = false;      // the query has its final answer
-  std::vector<double> load_report;  // as Settings::load_report_fields; empty: none
-  std::optional<Duration> work{};   // served, where responses report it: as one thread's time
-  double memory_mb = 0;             // the same: what it needed
+  bool query_finished = false;      // the client has received the final answer
+  std::vector<double> load_report;  // in the order of Settings::load_report_fields; empty: no report
+  std::optional<Duration> work{};   // reported by the response: time on a single thread
+  double memory_mb = 0;             // reported by the response: memory that the query needed
 };
 enum class ProgressKind { progress, spilling, waiting_for_memory, waiting_for_table_group };
 struct AttemptProgress {
@@ -87,7 +88,7 @@
   AttemptNumber attempt{};
   EngineId engine;
   ProgressKind kind = ProgressKind::progress;
-  double value = 0;  // progress: share of the work done, 0 to 1; spilling: megabytes missing
+  double value = 0;  // progress: fraction of the work done, 0 to 1; spilling: missing memory in megabytes
 };
 struct ResponseStarted {
   QueryId query{};
@@ -101,12 +102,12 @@
   Duration elapsed{};
   std::vector<double> load_report;
 };
-struct PeerMessage {  // the payload of another manager's BroadcastToPeers
+struct PeerMessage {
   ManagerId sender{};
-  std::string payload;
+  std::string payload;  // of the sender's BroadcastToPeers
 };
-struct TimerFired {  // of a StartTimer
-  std::uint64_t token = 0;
+struct TimerFired {
+  std::uint64_t token = 0;  // of the StartTimer
 };
 
 using Event = std::variant<EngineList, QueryArrived, AttemptEnded, AttemptProgress, ResponseStarted,
--- a/include/yokestream/policy/settings.h
+++ b/include/yokestream/policy/settings.h
@@ -1,4 +1,4 @@
-// The identifiers and the settings of an AdmissionController (admission_controller.h).
+// Identifiers and settings of an AdmissionController (admission_controller.h).
 #pragma once
 
 #include <chrono>
@@ -11,7 +11,8 @@
 namespace yokestream::policy {
 
 using Duration = std::chrono::nanoseconds;
-struct CallerClock {  // the caller's clock; only its type matters here
+// Type of the caller's clock. It has no now(): times are always passed in.
+struct CallerClock {
   using rep = Duration::rep;
   using period = Duration::period;
   using duration = Duration;
@@ -29,21 +30,21 @@
 enum class TableGroupId : std::uint64_t {};
 enum class OrderKey : std::uint64_t {};
 enum class ManagerId : std::uint32_t {};
-enum class AttemptNumber : std::uint32_t {};  // 0, 1, 2 ... in the order of a query's Sends
+enum class AttemptNumber : std::uint32_t {};  // 0, 1, 2 ... in the order of the query's Sends
 struct EngineId {
   std::string name;
   auto operator<=>(const EngineId&) const = default;
 };
 
-// Whether a query may run twice. Keyed: engines drop the duplicate by its idempotency key.
+// Whether a query may run twice. keyed: engines discard duplicates by their idempotency key.
 enum class Idempotency { idempotent, keyed, non_idempotent };
-// Keyed queries: the engines that drop a duplicate of what one of them ran.
+// Keyed queries: the engines among which a duplicate is recognized.
 enum class DeduplicationScope { everywhere, zone, cell };
 // How the engine list reaches the manager.
 enum class EngineListSource { pushed, on_request };
 // Where load reports come from.
 enum class LoadReportSource { none, responses, probes };
-// What an engine does when grants pass its memory.
+// What an engine does when memory grants exceed its memory.
 enum class MemoryShortage { wait, shrink, page };
 enum class LoadReportField {
   inflight,
@@ -59,30 +60,30 @@
 
 struct ClassSettings {
   std::string name;
-  // A response within latency_objective + latency_objective_stretch x work / threads has its full weight.
+  // A response within latency_objective + latency_objective_stretch x work / threads earns the full weight.
   Duration latency_objective{};
   double latency_objective_stretch = 0;
-  Duration deadline{};  // that a client waits over all of its tries
+  Duration deadline{};  // for which a client waits, over all of its retries
   double priority_weight = 1;
-  double late_weight_ratio = 0;  // of the weight, after the objective
+  double late_weight_ratio = 0;  // ratio of the weight that a response after the objective earns
   Idempotency idempotency = Idempotency::idempotent;
   DeduplicationScope deduplication_scope = DeduplicationScope::everywhere;
-  Duration deduplication_window{};  // that an engine remembers, from the first send that may have run
+  Duration deduplication_window{};  // for which engines remember a key, from the first send that may have run
   bool ordered = false;             // queries of one OrderKey run one at a time, in order of arrival
   bool streamed = false;
   std::vector<ZoneId> allowed_zones;   // empty: any
   std::vector<KindId> allowed_kinds;   // empty: any
-  double threads = 1;                  // that a query runs on
-  bool locks_table_group = false;      // while it runs
-  bool waits_for_table_group = false;  // stands still while its table group is locked
+  double threads = 1;                  // that run one query
+  bool locks_table_group = false;      // exclusively while it runs
+  bool waits_for_table_group = false;  // makes no progress while its table group is locked
 };
 struct KindSettings {
   double cores = 1;
-  double memory_mb = 0;  // 0: not told
+  double memory_mb = 0;  // 0: unknown
 };
 struct TenantSettings {
   double share = 0;
-  double quota_per_s = 0;  // queries; 0: none
+  double quota_per_s = 0;  // queries per second; 0: no quota
 };
 struct Settings {
   std::vector<ClassSettings> classes;
@@ -91,38 +92,38 @@
   std::size_t zones = 1;
   ZoneId local_zone{};
   ManagerId manager_id{};
-  std::uint32_t manager_count = 1;  // that share the engines, this one included
-  Duration time_granularity{};      // shortest time between two calls at different times
+  std::uint32_t manager_count = 1;  // that share the engines, including this one
+  Duration time_granularity{};      // minimum difference between the times of two calls
 
-  bool may_cancel = false;            // attempts
-  bool may_probe = false;             // engines
-  bool may_message = false;           // other managers
-  bool may_hedge = false;             // two attempts of a query at once
-  bool may_send_retry_after = false;  // clients are told Reject::retry_after
+  bool may_cancel = false;            // attempts can be cancelled
+  bool may_probe = false;             // engines can be probed
+  bool may_message = false;           // messages can be sent to other managers
+  bool may_hedge = false;             // a query may have two attempts in flight
+  bool may_send_retry_after = false;  // clients receive Reject::retry_after
   Duration max_retry_after{};
-  std::uint32_t max_attempts = 1;  // of one query
+  std::uint32_t max_attempts = 1;  // per query
   EngineListSource engine_list_source = EngineListSource::pushed;
   LoadReportSource load_report_source = LoadReportSource::none;
   std::vector<LoadReportField> load_report_fields;
 
-  bool memory_grants = false;         // engines heed SetExecutionTerms::memory_grant_mb
-  bool query_priorities = false;      // engines heed SetExecutionTerms::priority
-  double max_memory_grant_ratio = 1;  // of an engine's memory, for one query
+  bool memory_grants = false;         // engines honor SetExecutionTerms::memory_grant_mb
+  bool query_priorities = false;      // engines honor SetExecutionTerms::priority
+  double max_memory_grant_ratio = 1;  // of an engine's memory, per query
   MemoryShortage memory_shortage = MemoryShortage::wait;
-  Duration progress_interval{};        // between two words of progress of an attempt; 0: none come
-  bool reports_cost = false;           // responses report the work and memory that a query needed
-  double over_quota_weight_ratio = 1;  // weight of a query beyond its tenant's quota, of its class's
+  Duration progress_interval{};        // between two progress reports of an attempt; 0: no reports
+  bool reports_cost = false;           // responses report the work and the memory that a query needed
+  double over_quota_weight_ratio = 1;  // factor on the weight of queries beyond the tenant's quota
 
-  Duration answer_slack{};
-  Duration drain_grace{};
-  double slow_start_initial_ratio = 1;  // of its capacity, at which an engine starts
-  Duration slow_start_window{};         // an engine is warm after this; 0: engines start warm
-  // A warming engine is overloaded by work of this multiple of its present capacity within the window.
-  double cold_overload_multiple = 0;  // 0: no such limit
+  Duration answer_slack{};              // a final answer is due within this time after the deadline
+  Duration drain_grace{};               // after an engine drains, in which sends to it are tolerated
+  double slow_start_initial_ratio = 1;  // fraction of its capacity that an engine has when it starts
+  Duration slow_start_window{};         // an engine is warm after this time; 0: engines start warm
+  // An engine in slow start is overloaded by work of this multiple of its current capacity within the window.
+  double cold_overload_multiple = 0;  // 0: no limit
   Duration cold_overload_window{};
-  Duration engine_list_request_deadline{};  // the list is asked for within this
-  Duration order_pause{};                   // of an order key, after an attempt that may still run
-  // Retries within the window: the minimum and the ratio of the requests that arrived in it.
+  Duration engine_list_request_deadline{};  // the list must be requested within this time
+  Duration order_pause{};                   // of an order key after an attempt that may still be running
+  // Allows, within the window, the minimum number of retries plus the ratio of the requests that arrived.
   bool retry_budget_enabled = false;
   double retry_budget_min_retries = 0;
   double retry_budget_ratio = 0;
--- a/src/policy/admission_controller.cpp
+++ b/src/policy/admission_controller.cpp
@@ -1,4 +1,4 @@
-// The public class, and the order in which an event is handled.
+// Implements the public class and the sequence of steps in which an event is handled.
 #include "yokestream/policy/admission_controller.h"
 
 #include <algorithm>
@@ -44,7 +44,7 @@
     if (settings_.engine_list_source == EngineListSource::on_request) emit(WatchEngineList{});
   }
   std::visit([&](const auto& e) { on(e); }, event);
-  // News that frees no capacity places no query; the next tick looks at the queue again.
+  // These events free no capacity, so the queue can wait for the next tick.
   if (std::holds_alternative<AttemptProgress>(event) || std::holds_alternative<PeerMessage>(event)) return;
   place_queued(std::holds_alternative<TimerFired>(event));
 }
--- a/src/policy/admission_threshold.h
+++ b/src/policy/admission_threshold.h
@@ -1,9 +1,10 @@
-// The admission threshold: the highest cost for its value at which a query is admitted.
+// The admission threshold: the highest cost per value at which a query is admitted.
 //
-// Failure: more work is asked for than the engines can do, for long, and no bound on own threads tells which
-// queries to reject. Symptom: all queries wait, and most are late. Guard: a threshold on the seconds of work
-// for a unit of priority weight, lowered while engines are congested beyond the target, rejects the costliest
-// for their value first. Costs are logarithms of seconds of work a unit of weight.
+// Failure: demand exceeds the capacity of the engines for a long time, and the bound on this manager's own
+// threads does not tell which queries to reject. Symptom: all queries wait and most are late. Guard: a
+// threshold on the seconds of work per unit of priority weight, which is lowered while congestion is above
+// its target, so that the queries with the highest cost per value are rejected first. Costs are logarithms of
+// seconds of work per unit of weight.
 #pragma once
 
 #include "time_units.h"
@@ -14,9 +15,9 @@
  public:
   void record_arrival(double cost_per_value);
   void record_outcome();
-  // Seconds since the last call, one at most; 0 at the first.
+  // Returns the seconds since the last call, at most one; 0 on the first call.
   double advance(Time now);
-  // Moves the threshold towards the target of congestion (see congestion_tracker.h).
+  // Moves the threshold so that congestion (see congestion_tracker.h) approaches its target.
   void update(double elapsed_s, double congestion);
 
   bool rejects(double cost_per_value) const {
@@ -24,10 +25,10 @@
   }
 
  private:
-  double threshold_ = 1e9;
-  double highest_cost_per_value_ = -1e9;  // that was asked lately
+  double threshold_ = 1e9;                // above every cost: rejects nothing
+  double highest_cost_per_value_ = -1e9;  // of recent arrivals; initially below every cost
   Time updated_at_ = Time::min();
-  double observed_time_s_ = 0;  // seconds of lowering that outcomes speak for
+  double lowering_allowance_s_ = 0;  // time for which recent outcomes allow the threshold to fall
 };
 
 }  // namespace yokestream::policy
--- a/src/policy/announcements.h
+++ b/src/policy/announcements.h
@@ -1,43 +1,44 @@
-// Which queries are announced to the peers.
+// Decides which queries are announced to the peers.
 //
-// Failure: at an engine shared by many managers costly queries pile up by chance until it pages or thrashes.
-// Symptom: a few engines slow down by many times while others are idle. Guard: where no probes show it, a
-// query that is worth the price of messages to every peer is announced as it is sent and as it ends. A lost
-// message costs one wrong estimate.
+// Failure: expensive queries of several managers accumulate by chance on one engine until it pages or
+// thrashes. Symptom: a few engines slow down by a large factor while others are idle. Guard: unless probes
+// already show the load, a query that is expensive enough to justify a message to every peer is announced
+// when it is sent and when it ends. A lost message causes one wrong estimate.
 #pragma once
 
 #include "yokestream/policy/settings.h"
 
 namespace yokestream::policy {
 
-// Whether engines are probed for what other managers run; nothing is announced then.
+// Whether engines are probed for the load of other managers; if so, nothing is announced.
 bool probing_enabled(const Settings& settings);
 
 class Announcements {
  public:
   explicit Announcements(const Settings& settings)
       : enabled_(settings.may_message && settings.manager_count > 1 && !probing_enabled(settings)),
-        silent_(!settings.may_message || probing_enabled(settings)),
+        unavailable_(!settings.may_message || probing_enabled(settings)),
         peers_(settings.manager_count - 1) {}
 
-  // `mean_work_s`: of all that arrives.
+  // `mean_work_s`: mean over all arriving queries.
   bool announces(double work_s, double mean_work_s) const {
     return enabled_ && is_costly(work_s, mean_work_s);
   }
-  // Whether such a query counts among those that peers are not told of.
+  // Whether the query counts toward the load that peers are not told of.
   bool is_unannounced(double work_s, double mean_work_s) const {
-    return silent_ || !is_costly(work_s, mean_work_s);
+    return unavailable_ || !is_costly(work_s, mean_work_s);
   }
 
  private:
+  // The minimum work rises with the number of peers, as each of them costs one message.
   bool is_costly(double work_s, double mean_work_s) const {
-    constexpr double kLeastMeanWorks = 0.1;       // however few peers there are
-    constexpr double kMeanWorksPerPeer = 0.0065;  // price of one message
-    return work_s >= (kLeastMeanWorks + kMeanWorksPerPeer * peers_) * mean_work_s;
+    constexpr double kMinMeanWorkRatio = 0.1;
+    constexpr double kMeanWorkRatioPerPeer = 0.0065;
+    return work_s >= (kMinMeanWorkRatio + kMeanWorkRatioPerPeer * peers_) * mean_work_s;
   }
 
   const bool enabled_;
-  const bool silent_;
+  const bool unavailable_;
   const double peers_;
 };
 
--- a/src/policy/controller_impl.h
+++ b/src/policy/controller_impl.h
@@ -1,11 +1,11 @@
-// Composes the components of the decision module: takes events, asks the components, emits actions.
+// Combines the components of the decision module: handles events, consults the components, emits actions.
 //
-// The ordinary path of a query: its time is predicted from the mix that this manager runs on each engine
-// (LatencyEstimator), the engine with the shortest time is chosen (EngineSelector), and the query is sent if
-// that fits the time left, else rejected (placement.cpp). Under pressure a bound on running threads
-// (ConcurrencyBound) makes queries wait; they leave the queue earliest deadline first.
+// The usual path of a query: its time on each engine is predicted from the queries that this manager runs
+// there (LatencyEstimator), the engine with the shortest time is chosen (EngineSelector), and the query is
+// sent if that time fits its remaining time, or else rejected (placement.cpp). Under pressure a bound on
+// running threads (ConcurrencyBound) makes queries wait; they leave the queue earliest deadline first.
 //
-// A state is changed by the component that owns it; this class owns the queries, the actions and the order of
+// Each component alone changes its own state. This class owns the queries, the actions and the order of
 // steps.
 #pragma once
 
@@ -29,16 +29,16 @@
 
 namespace yokestream::policy {
 
-// Throws std::invalid_argument that names the setting which makes no sense.
+// Throws std::invalid_argument, with the name of the setting, if the settings are invalid.
 void check(const Settings& settings);
-// Whether the sizes are those of the settings, and all numbers make sense.
+// Whether the snapshot has the sizes of the settings and all its numbers are valid.
 bool is_compatible(const LearnedState& state, const Settings& settings);
 
 class AdmissionController::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed, Time now);
 
-  // The public contract: admission_controller.h.
+  // Documented in admission_controller.h.
   void handle(Time now, const Event& event, std::vector<Action>& actions);
   std::size_t unavailable_engines() const;
   LearnedState learned_state() const;
@@ -46,10 +46,10 @@
   void set_manager_count(double manager_count);
 
  private:
-  // Tokens of own timers.
+  // Tokens of the controller's timers.
   static constexpr std::uint64_t kTickTimer = 0;
   static constexpr std::uint64_t kWatchListTimer = 1;
-  // Whether a query that was looked at in the queue lets later ones pass.
+  // Whether queries behind the one just considered may still be sent, or have to wait for capacity with it.
   enum class Placement { queue_continues, queue_blocked };
 
   // Events of queries (query_events.cpp).
@@ -100,7 +100,7 @@
   }
   ConcurrencyBound::Pool pool() const { return {total_cores_, load_share_.value()}; }
   Query* find(QueryId id);
-  // Built in its place: a move of a temporary variant makes g++ warn of alternatives that it does not hold.
+  // Constructs the action in place: moving a temporary variant makes g++ warn about inactive alternatives.
   template <class A>
   void emit(A action) {
     actions_->emplace_back(std::in_place_type<A>, std::move(action));
@@ -109,7 +109,7 @@
   const Settings settings_;
   RandomSource random_;
   Time now_;
-  std::vector<Action>* actions_ = nullptr;  // of the event that is being handled
+  std::vector<Action>* actions_ = nullptr;  // output of the current handle() call
   StallDetector stall_;
 
   // State.
@@ -117,10 +117,10 @@
   WaitQueue queue_;
   OrderedKeys keys_;
   EngineRegistry engines_;
-  double total_cores_ = 0;      // of all engines that are up, as warm as they are
-  double running_threads_ = 0;  // of this manager, on all engines
-  std::map<std::string, LearnedState::Engine> restored_engines_;  // that the list has not named yet
-  Time restored_at_{};                                            // when that was learned
+  double total_cores_ = 0;      // of all engines that are up, scaled by their warm fractions
+  double running_threads_ = 0;  // of this manager's queries, on all engines
+  std::map<std::string, LearnedState::Engine> restored_engines_;  // not in the engine list yet
+  Time restored_at_{};                                            // when the snapshot was taken
 
   // Components, each with its own state.
   LoadShare load_share_;
@@ -135,7 +135,7 @@
   RetryBudget retries_;
   TenantQuotas quotas_;
   AdmissionThreshold threshold_;
-  // They read the ones above.
+  // These read the components above.
   SendRules rules_;
   EngineCapacity capacity_;
   EngineSelector selector_;
--- a/src/policy/latency_estimator.cpp
+++ b/src/policy/latency_estimator.cpp
@@ -6,11 +6,13 @@
 namespace yokestream::policy {
 namespace {
 
-constexpr double kInterferenceStep = 0.15;  // share of an error that one outcome corrects (normalised LMS)
-constexpr double kBiasStep = 0.05;          // the same of a bias, which all engines share
-constexpr double kErrorStep = 0.05;         // weight of one outcome in the mean errors
-constexpr double kMaxErrorInMeans = 3.0;    // an error counts as at most this many mean errors
-constexpr double kLeastBias = 0.1;
+// Fractions of an error that one outcome corrects (normalized LMS); smaller for a bias, as all engines share
+// it.
+constexpr double kInterferenceLearningRate = 0.15;
+constexpr double kBiasLearningRate = 0.05;
+constexpr double kMeanErrorWeight = 0.05;      // weight of one outcome in the mean errors
+constexpr double kMaxErrorInMeanErrors = 3.0;  // a larger error counts as this many mean errors
+constexpr double kMinBias = 0.1;
 
 InterferenceWeights zero_weights(std::size_t classes) {
   return InterferenceWeights(classes, std::vector<double>(classes, 0.0));
@@ -22,7 +24,7 @@
   return sum;
 }
 
-// One step of normalised LMS; weights stay non-negative.
+// One step of normalized LMS; weights stay non-negative.
 void correct(InterferenceWeights& weights, std::size_t class_index, const std::vector<double>& running,
              double correction) {
   const double norm = squared_norm(running);
@@ -53,9 +55,9 @@
   return unloaded_s * (classes_[class_index].bias + mix) / warm_fraction;
 }
 
-// Failure: a query that takes thirty times its prediction drags a mean along for many others. Symptom: after
-// one bad plan a class is rejected everywhere. Guard: an error counts for at most some mean errors, and above
-// the prediction for at most the prediction once more.
+// Failure: a query that takes thirty times its predicted time raises the estimates of many later ones.
+// Symptom: after one bad plan, queries of the class are rejected everywhere. Guard: an error counts as at
+// most kMaxErrorInMeanErrors mean errors, and a positive one also as at most the predicted time.
 void LatencyEstimator::learn(const Observation& observation, EngineState& engine) {
   const std::size_t class_index = observation.class_index;
   const auto& mix = observation.running_mix;
@@ -63,17 +65,17 @@
   const double raw_error =
       observation.slowdown - state.bias - interference_of(engine.interference, class_index, mix);
   const double predicted = std::max(1.0, observation.slowdown - raw_error);
-  const double largest = std::min(kMaxErrorInMeans * state.mean_error, predicted);
-  const double error = std::clamp(raw_error, -kMaxErrorInMeans * state.mean_error, largest);
-  state.mean_error += kErrorStep * (std::abs(error) - state.mean_error);
-  engine.mean_error[class_index] += kErrorStep * (std::abs(error) - engine.mean_error[class_index]);
-  state.bias = std::max(kLeastBias, state.bias + kBiasStep * error / std::sqrt(squared_norm(mix)));
-  correct(engine.interference, class_index, mix, kInterferenceStep * error);
+  const double max_error = std::min(kMaxErrorInMeanErrors * state.mean_error, predicted);
+  const double error = std::clamp(raw_error, -kMaxErrorInMeanErrors * state.mean_error, max_error);
+  state.mean_error += kMeanErrorWeight * (std::abs(error) - state.mean_error);
+  engine.mean_error[class_index] += kMeanErrorWeight * (std::abs(error) - engine.mean_error[class_index]);
+  state.bias = std::max(kMinBias, state.bias + kBiasLearningRate * error / std::sqrt(squared_norm(mix)));
+  correct(engine.interference, class_index, mix, kInterferenceLearningRate * error);
   if (!observation.kind) return;
   InterferenceWeights& kind = kinds_[*observation.kind];
   const double kind_error = observation.slowdown - state.bias - interference_of(kind, class_index, mix);
-  const double bound = kMaxErrorInMeans * state.mean_error;
-  correct(kind, class_index, mix, kInterferenceStep * std::clamp(kind_error, -bound, bound));
+  const double bound = kMaxErrorInMeanErrors * state.mean_error;
+  correct(kind, class_index, mix, kInterferenceLearningRate * std::clamp(kind_error, -bound, bound));
 }
 
 void LatencyEstimator::save(LearnedState& state) const {
--- a/src/policy/latency_estimator.h
+++ b/src/policy/latency_estimator.h
@@ -1,8 +1,8 @@
-// Predicts how long a query takes at an engine, and learns from how long queries took.
+// Predicts how long a query takes on an engine, and learns from the times of served queries.
 //
-// The model: time = unloaded time x (bias of the class + sum over classes of interference(class, other) x
-// running queries of other) / warm fraction. Biases are shared by all engines; interference is kept for each
-// engine, beginning with that of its kind. Errors are in unloaded times.
+// Model: time = unloaded time x (bias(class) + sum over other of interference(class, other) x running queries
+// of other) / warm fraction. Biases are shared by all engines. Each engine has its own interference weights,
+// which start with those of its kind. Errors are in multiples of the unloaded time.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +13,7 @@
 
 namespace yokestream::policy {
 
-// Interference of a class that meets this mix of running queries.
+// Delay of a query of the class by this mix of running queries, in multiples of its unloaded time.
 double interference_of(const InterferenceWeights& weights, std::size_t class_index,
                        const std::vector<double>& running);
 
@@ -21,20 +21,20 @@
  public:
   struct EngineState {
     InterferenceWeights interference;
-    std::vector<double> mean_error;  // by class, absolute
+    std::vector<double> mean_error;  // by class: mean absolute error
   };
-  // One query that was served.
+  // A query that was served.
   struct Observation {
     std::size_t class_index = 0;
-    const std::vector<double>& running_mix;  // itself included
-    double slowdown = 1;                     // time taken over unloaded time, as on a warm engine
-    std::optional<std::size_t> kind;         // of its engine, where the settings name it
+    const std::vector<double>& running_mix;  // running queries by class, including itself
+    double slowdown = 1;                     // time taken / unloaded time, converted to a warm engine
+    std::optional<std::size_t> kind;         // of its engine; nullopt: not in the settings
   };
 
   LatencyEstimator(std::size_t classes, std::size_t kinds);
 
   EngineState new_engine(std::optional<std::size_t> kind) const;
-  // Seconds, without what is waited for before it runs.
+  // Predicted running time in seconds, without any wait before the query starts.
   double predict_s(std::size_t class_index, double unloaded_s, const EngineState& engine,
                    const std::vector<double>& running, double warm_fraction) const;
   double class_bias(std::size_t class_index) const { return classes_[class_index].bias; }
@@ -46,7 +46,7 @@
  private:
   struct ClassState {
     double bias = 1;
-    double mean_error = 1;  // absolute
+    double mean_error = 1;  // mean absolute error
   };
 
   std::vector<ClassState> classes_;
--- a/src/policy/learned_state.cpp
+++ b/src/policy/learned_state.cpp
@@ -1,4 +1,4 @@
-// What was learned, as a value that another process takes over, and managers that come and go meanwhile.
+// Saves and restores the learned state, and applies changes of the number of managers.
 #include "yokestream/policy/learned_state.h"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 namespace yokestream::policy {
 namespace {
 
-// Failure: a cost or a count that is no number or below zero would spoil every estimate from then on.
+// Failure: a cost or count that is negative or not finite would corrupt all estimates that depend on it.
 bool is_valid(const std::vector<double>& row, std::size_t size) {
   return row.size() == size &&
          std::all_of(row.begin(), row.end(), [](double value) { return std::isfinite(value) && value >= 0; });
@@ -93,8 +93,8 @@
   return true;
 }
 
-// Failure: with twice the managers at work each has half of the capacity. Symptom: engines are overloaded
-// until reports teach it. Guard: bounds and shares are scaled at once.
+// Failure: when the number of managers doubles, each one has half of the capacity. Symptom: engines are
+// overloaded until load reports correct the shares. Guard: bounds and shares are scaled immediately.
 void AdmissionController::Impl::set_manager_count(double manager_count) {
   const double factor = load_share_.set_manager_count(manager_count);
   bound_.scale(factor);
--- a/src/policy/load_share.cpp
+++ b/src/policy/load_share.cpp
@@ -5,16 +5,16 @@
 namespace yokestream::policy {
 namespace {
 
-constexpr double kReportWeight = 0.01;  // of one load report in the smoothed counts
+constexpr double kReportWeight = 0.01;  // weight of one load report in the moving averages
 
 }  // namespace
 
 LoadShare::LoadShare(double manager_count)
     : manager_count_(manager_count), share_(1.0 / manager_count), observed_own_(share_) {}
 
-// Failure: managers carry unequal loads, and an even share starves the large ones. Symptom: a busy manager
-// rejects while engines are idle. Guard: the share follows the reports; smoothed sums are divided, as single
-// counts are small.
+// Failure: managers are unequally loaded, and equal shares starve the busy ones. Symptom: a busy manager
+// rejects queries while engines are idle. Guard: the share follows the load reports. It is the quotient of
+// two moving averages, as the counts of a single report are too small to divide.
 void LoadShare::observe(std::size_t own_queries, double all_queries) {
   observed_own_ += kReportWeight * (static_cast<double>(own_queries) - observed_own_);
   observed_all_ += kReportWeight * (all_queries - observed_all_);
--- a/src/policy/ordered_keys.h
+++ b/src/policy/ordered_keys.h
@@ -1,7 +1,7 @@
-// Queries of one order key run one at a time, in order of arrival.
+// Makes queries with the same order key run one at a time, in order of arrival.
 //
-// After an attempt that may still run, the key pauses before its next query is sent. Memory: one entry a
-// query of an ordered class, one record a key that was ever used.
+// After an attempt that may still be running, the key is paused before its next query is sent. Memory: one
+// entry per query of an ordered class, and one record per key ever used.
 #pragma once
 
 #include <deque>
@@ -15,17 +15,17 @@
  public:
   void append(OrderKey key, QueryId query);
   void remove(OrderKey key, QueryId query);
-  // Nothing of this key is sent for the first time before `until`.
+  // Delays the first send of further queries with this key until `until`.
   void pause(OrderKey key, Time until);
-  // Whether the query is at the head of its key. Queries of other classes always are.
+  // Whether the query is the first of its key and the key is not paused. Always true for unordered classes.
   bool is_next(const Query& query, const ClassSettings& query_class, Time now) const;
 
  private:
-  struct Line {
+  struct KeyQueue {
     std::deque<QueryId> queries;
     Time paused_until = Time::min();
   };
-  std::map<OrderKey, Line> lines_;
+  std::map<OrderKey, KeyQueue> queues_;
 };
 
 }  // namespace yokestream::policy
--- a/src/policy/query_events.cpp
+++ b/src/policy/query_events.cpp
@@ -1,4 +1,4 @@
-// Queries that arrive, and clients that want no answer any more.
+// Handles arriving queries, clients that disconnect, and changes of the eligible engines.
 #include <algorithm>
 #include <stdexcept>
 
@@ -37,7 +37,7 @@
   erase_if_finished(event.query);
 }
 
-// What is in flight goes on. A query that no engine may take any more is rejected at once and never queued.
+// An attempt in flight continues. A query without an eligible engine is rejected immediately, not queued.
 void AdmissionController::Impl::on(const EligibilityChanged& event) {
   Query* query = find(event.query);
   if (!query) return;
@@ -49,7 +49,8 @@
   erase_if_finished(event.query);
 }
 
-// A query is kept until it is finished and its last attempt has ended: its order key waits for that.
+// Keeps the query until its last attempt has ended as well, because the next query of its order key has to
+// wait.
 void AdmissionController::Impl::erase_if_finished(QueryId id) {
   const Query* query = find(id);
   if (!query || !query->finished || query->attempts_in_flight > 0) return;
--- a/src/policy/settings_check.cpp
+++ b/src/policy/settings_check.cpp
@@ -1,4 +1,4 @@
-// Which settings make no sense.
+// Validates the settings.
 #include <stdexcept>
 #include <string>
 
@@ -7,7 +7,7 @@
 namespace yokestream::policy {
 namespace {
 
-// The names are those that operators have always been shown.
+// `name` is the setting's external name, which operators see in the error.
 void require(bool valid, const std::string& name) {
   if (!valid) throw std::invalid_argument("invalid setting: " + name);
 }
--- a/src/policy/table_group_locks.cpp
+++ b/src/policy/table_group_locks.cpp
@@ -5,13 +5,15 @@
 namespace yokestream::policy {
 namespace {
 
-constexpr Duration kLostReleaseAfter = std::chrono::milliseconds(3000);  // past the expected end
-constexpr double kExpiredRemainingSeconds = 0.2;  // presumed of a lock past its expected end
+// A lock this long past its expected end is dropped: its release was lost.
+constexpr Duration kMaxOverdue = std::chrono::milliseconds(3000);
+// Assumed remaining time of a lock that is past its expected end.
+constexpr double kOverdueRemainingSeconds = 0.2;
 
 }  // namespace
 
-void TableGroupLocks::acquire(TableGroupId tables, LockHolder holder, Time expected_end) {
-  locks_.emplace(wire_id(tables), std::pair(holder, expected_end));
+void TableGroupLocks::acquire(TableGroupId table_group, LockHolder holder, Time expected_end) {
+  locks_.emplace(wire_id(table_group), std::pair(holder, expected_end));
 }
 
 void TableGroupLocks::release(LockHolder holder) {
@@ -21,14 +23,14 @@
 }
 
 void TableGroupLocks::expire(Time now) {
-  std::erase_if(locks_, [&](const auto& lock) { return now > lock.second.second + kLostReleaseAfter; });
+  std::erase_if(locks_, [&](const auto& lock) { return now > lock.second.second + kMaxOverdue; });
 }
 
-double TableGroupLocks::remaining_s(TableGroupId tables, Time now) const {
+double TableGroupLocks::remaining_s(TableGroupId table_group, Time now) const {
   double remaining = 0;
-  const auto [from, to] = locks_.equal_range(wire_id(tables));
+  const auto [from, to] = locks_.equal_range(wire_id(table_group));
   for (auto it = from; it != to; ++it)
-    remaining = std::max(remaining, std::max(kExpiredRemainingSeconds, to_seconds(it->second.second - now)));
+    remaining = std::max(remaining, std::max(kOverdueRemainingSeconds, to_seconds(it->second.second - now)));
   return remaining;
 }
 
--- a/src/policy/table_group_locks.h
+++ b/src/policy/table_group_locks.h
@@ -1,7 +1,8 @@
-// The table groups that running queries lock on one engine, and until when that is expected.
+// The table groups that running queries lock on one engine, and when the locks are expected to be released.
 //
-// A query that loads tables holds its group while it runs. Other loads of that group, and queries of classes
-// that wait for it, stand still until it ends, however idle the engine is. Memory: one entry a lock.
+// A query that loads tables locks its table group while it runs. Other loads of that group, and queries of
+// classes that wait for table groups, make no progress until it ends, even on an idle engine. Memory: one
+// entry per lock.
 #pragma once
 
 #include <cstdint>
@@ -12,22 +13,23 @@
 
 namespace yokestream::policy {
 
-// Who holds a lock: an own query by its id, a peer, or a query that was never announced.
+// The holder of a lock: the id of one of this manager's queries, a peer, or an unknown query.
 using LockHolder = std::uint64_t;
 inline constexpr LockHolder kUnknownLockHolder = ~0ull;
 
 class TableGroupLocks {
  public:
-  void acquire(TableGroupId tables, LockHolder holder, Time expected_end);
-  void release(LockHolder holder);  // the first lock of this holder
-  // Drops locks that are long past their expected end: the word of their release was lost.
+  void acquire(TableGroupId table_group, LockHolder holder, Time expected_end);
+  // Releases one lock of this holder, if it has any.
+  void release(LockHolder holder);
+  // Drops locks that are long past their expected end, as the message of their release was lost.
   void expire(Time now);
-  // Seconds until the last lock of the group is expected to be released; 0: the group is free.
-  double remaining_s(TableGroupId tables, Time now) const;
+  // Seconds until the last lock of the group is expected to be released; 0: the group is not locked.
+  double remaining_s(TableGroupId table_group, Time now) const;
 
-  // Peers' messages carry 16 bits of a group; groups are compared by these everywhere.
-  static TableGroupId wire_id(TableGroupId tables) {
-    return TableGroupId{static_cast<std::uint64_t>(tables) & 0xffff};
+  // Messages of peers carry only 16 bits of a table group, so all comparisons use these.
+  static TableGroupId wire_id(TableGroupId table_group) {
+    return TableGroupId{static_cast<std::uint64_t>(table_group) & 0xffff};
   }
 
  private:
--- a/src/policy/tenant_quotas.h
+++ b/src/policy/tenant_quotas.h
@@ -1,5 +1,5 @@
-// Whether a tenant asks for more than its quota: a token bucket a tenant, filled at this manager's share of
-// the quota. What exceeds it is not rejected for that alone, but has a lower weight when capacity is short.
+// Detects tenants that exceed their quota: one token bucket per tenant, filled at this manager's share of the
+// quota. Queries over the quota are not rejected for that alone, but weigh less when capacity is short.
 #pragma once
 
 #include <vector>
@@ -12,7 +12,8 @@
  public:
   TenantQuotas(const Settings& settings, Time now);
 
-  // Takes one token; true: the tenant had none left. `load_share`: this manager's share of the load.
+  // Takes one token; returns true if the tenant has none left. `load_share`: this manager's share of the
+  // load.
   bool exceeds_quota(TenantId tenant, Time now, double load_share);
 
  private:
--- a/src/policy/wait_queue.h
+++ b/src/policy/wait_queue.h
@@ -1,4 +1,4 @@
-// The queries that wait for an engine, earliest deadline first.
+// Queries that wait for an engine, earliest deadline first.
 #pragma once
 
 #include <set>
@@ -15,7 +15,8 @@
     query.queued = true;
     queue_.emplace(query.deadline, query.request.query);
   }
-  void dequeue(Query& query) {  // nothing happens where it is not queued
+  // Does nothing if the query is not queued.
+  void dequeue(Query& query) {
     if (query.queued) queue_.erase({query.deadline, query.request.query});
     query.queued = false;
   }
--- a/src/policy/workload_statistics.cpp
+++ b/src/policy/workload_statistics.cpp
@@ -5,18 +5,21 @@
 namespace yokestream::policy {
 namespace {
 
-constexpr double kArrivalWeight = 0.02;        // of one arrival in the means
-constexpr double kValueWeight = 0.005;         // of one arrival in the mean value of a second of work
-constexpr double kWorkFactorStep = 0.05;       // of one report, at least
-constexpr double kPresumedCostReports = 3;     // that told estimates were right, before any report
-constexpr double kInitialMemoryFactor = 1.25;  // engines add some memory of their own
+// Weights of one arrival in the moving averages.
+constexpr double kArrivalWeight = 0.02;
+constexpr double kValueWeight = 0.005;  // in the mean value per second of work
+constexpr double kMinCostReportWeight = 0.05;
+constexpr double kPriorCostReports = 3;  // weight of the prior assumption that work estimates are correct
+constexpr double kInitialMemoryFactor = 1.25;  // engines need some memory in addition to the estimate
 constexpr double kMaxMemoryFactor = 4.0;
-constexpr double kMemoryFactorGrowth = 1.02;
-constexpr double kMemoryFactorDecay = 0.998;
-constexpr int kTimeLeftVote = 2;
-constexpr int kMaxTimeLeftVotes = 40;  // arrivals of another kind that change what is usual
-constexpr double kLeastWorkSeconds = 1e-3;
-constexpr double kLeastOverQuotaRatio = 0.01;
+constexpr double kMemoryFactorGrowth = 1.02;  // per spilling query
+constexpr double kMemoryFactorDecay = 0.998;  // per query that did not spill
+// Majority vote on the usual time left: votes per matching arrival, and the maximum, which limits how many
+// arrivals with another time left it takes to change the result.
+constexpr int kVotesPerMatch = 2;
+constexpr int kMaxTimeLeftVotes = 40;
+constexpr double kMinWorkSeconds = 1e-3;
+constexpr double kMinOverQuotaRatio = 0.01;
 
 }  // namespace
 
@@ -37,30 +40,32 @@
   return work_s;
 }
 
-// The time left that most queries of the class have on arrival, by majority vote.
+// Finds the time left that most queries of the class have on arrival, by majority vote.
 void WorkloadStatistics::observe_time_left(const QueryArrived& request) {
   ClassState& state = classes_[index_of(request.query_class)];
   if (std::chrono::abs(request.time_left - state.usual_time_left) <= kTickInterval) {
-    state.usual_time_left_votes = std::min(state.usual_time_left_votes + kTimeLeftVote, kMaxTimeLeftVotes);
+    state.usual_time_left_votes = std::min(state.usual_time_left_votes + kVotesPerMatch, kMaxTimeLeftVotes);
     return;
   }
   --state.usual_time_left_votes;
   if (state.usual_time_left_votes >= 0) return;
   state.usual_time_left = request.time_left;
-  state.usual_time_left_votes = kTimeLeftVote;
+  state.usual_time_left_votes = kVotesPerMatch;
 }
 
-// Failure: a client that retries counts from its first request; serving it late takes a fresh query's place.
-// Symptom: work is done for responses that have lost their weight. Guard: less time left than most have tells
-// how long ago the first request was. Less than the objective is a client in a hurry, in time at any moment.
+// Failure: the objective of a client's retry counts from its first request, so a late retry may take the
+// capacity of a new query. Symptom: engines work for responses that no longer earn the full weight. Guard: a
+// query with less time left than usual for its class is dated back to its first request. A query that is not
+// marked as a retry and has less time left than the objective comes from an impatient client and is not dated
+// back.
 Time WorkloadStatistics::observe_objective(const QueryArrived& request, double work_s, Time now) {
   const auto& query_class = settings_.classes[index_of(request.query_class)];
   Time objective = now + query_class.latency_objective +
                    from_seconds(query_class.latency_objective_stretch * work_s / query_class.threads);
   observe_time_left(request);
   const Duration usual = classes_[index_of(request.query_class)].usual_time_left;
-  const bool began_earlier = request.time_left + kTickInterval < usual;
-  if (began_earlier && (request.is_retry || request.time_left > query_class.latency_objective))
+  const bool has_less_time_than_usual = request.time_left + kTickInterval < usual;
+  if (has_less_time_than_usual && (request.is_retry || request.time_left > query_class.latency_objective))
     objective -= std::max(Duration{}, query_class.deadline - request.time_left);
   return objective;
 }
@@ -83,14 +88,15 @@
   mean_value_per_work_second_ += weight * (value_per_work_second(query) - mean_value_per_work_second_);
 }
 
-// A mean of logarithms: an attempt with a bad plan takes many times its told work, and told work scatters.
+// Averages logarithms, because work estimates are noisy and an attempt with a bad plan takes many times its
+// estimate.
 void WorkloadStatistics::observe_reported_work(std::size_t class_index, Duration estimated,
                                                Duration reported) {
   ClassState& state = classes_[class_index];
   const double ratio = to_seconds(reported) / (to_seconds(estimated) * state.work_factor);
   ++state.cost_reports;
   state.work_factor *=
-      std::pow(ratio, std::max(kWorkFactorStep, 1 / (state.cost_reports + kPresumedCostReports)));
+      std::pow(ratio, std::max(kMinCostReportWeight, 1 / (state.cost_reports + kPriorCostReports)));
 }
 
 void WorkloadStatistics::observe_sufficient_memory(std::size_t class_index) {
@@ -103,7 +109,7 @@
   factor = std::min(kMaxMemoryFactor, factor * kMemoryFactorGrowth);
 }
 
-// Where responses report the work, told estimates are corrected by it; elsewhere by the time they take.
+// Work estimates are corrected by the reported work if responses report it, otherwise by the class's bias.
 double WorkloadStatistics::usual_work_s(std::size_t class_index, double class_bias) const {
   const ClassState& state = classes_[class_index];
   const double mean = state.mean_estimated_work_s * state.work_factor;
@@ -115,17 +121,16 @@
 }
 
 double WorkloadStatistics::value_per_work_second(const Query& query) const {
-  return settings_of(query).priority_weight / std::max(kLeastWorkSeconds, query.work_s);
+  return settings_of(query).priority_weight / std::max(kMinWorkSeconds, query.work_s);
 }
 
 double WorkloadStatistics::relative_value(const Query& query) const {
-  constexpr double kLeastMean = 1e-9;
-  return value_per_work_second(query) / std::max(kLeastMean, mean_value_per_work_second_);
+  constexpr double kMinMeanValue = 1e-9;
+  return value_per_work_second(query) / std::max(kMinMeanValue, mean_value_per_work_second_);
 }
 
 double WorkloadStatistics::cost_per_value(const Query& query) const {
-  const double ratio =
-      query.over_quota ? std::max(kLeastOverQuotaRatio, settings_.over_quota_weight_ratio) : 1;
+  const double ratio = query.over_quota ? std::max(kMinOverQuotaRatio, settings_.over_quota_weight_ratio) : 1;
   return -std::log(value_per_work_second(query) * ratio);
 }
 
--- a/src/policy/workload_statistics.h
+++ b/src/policy/workload_statistics.h
@@ -1,7 +1,7 @@
-// What arrives: the work of queries by class, how told estimates compare with what engines report, and means
-// over all that arrives.
+// Statistics of the arriving queries: work by class, the accuracy of work and memory estimates, and means
+// over all arrivals.
 //
-// Owns the statistics and nothing else; the settings must outlive it. Work is in seconds of one thread.
+// The settings must outlive this. Work is in seconds on a single thread.
 #pragma once
 
 #include <optional>
@@ -14,7 +14,7 @@
 
 class WorkloadStatistics {
  public:
-  // Of queries that are not announced to the peers: what one that runs uses in the mean.
+  // Mean use of a running query that is not announced to the peers.
   struct UnannouncedMean {
     double threads = 1;
     double memory_mb = 0;
@@ -22,28 +22,29 @@
 
   explicit WorkloadStatistics(const Settings& settings);
 
-  // Work of a query that has just arrived, counting it in. `class_bias`: the latency estimator's.
+  // Records an arriving query and returns its work. `class_bias`: from the latency estimator.
   double observe_work(const QueryArrived& request, double class_bias);
-  // By when a response has its full weight. Counts in how much patience its class usually has left.
+  // Records the query's time left, and returns the time until which a response earns the full weight.
   Time observe_objective(const QueryArrived& request, double work_s, Time now);
-  // Counts the query into the means; `unannounced`: peers are not told of it.
+  // Adds the query to the means over all arrivals. `unannounced`: the query is not announced to the peers.
   void observe_means(const Query& query, bool unannounced);
   void observe_mean_work(double work_s);
 
-  // A response told the work that the query took.
+  // Corrects the class's work estimates by the work that a response reported.
   void observe_reported_work(std::size_t class_index, Duration estimated, Duration reported);
   void observe_sufficient_memory(std::size_t class_index);  // a query ended without spilling
-  void observe_spill(std::size_t class_index);              // one got too little memory
+  void observe_spill(std::size_t class_index);  // a query spilled because its memory grant was too small
 
-  // Work of a query of this class of which none was told. `class_bias`: the latency estimator's.
+  // Work of a query of this class that has no work estimate. `class_bias`: from the latency estimator.
   double usual_work_s(std::size_t class_index, double class_bias) const;
   double memory_factor(std::size_t class_index) const { return classes_[class_index].memory_factor; }
   double mean_work_s() const { return mean_work_s_; }
   const UnannouncedMean& unannounced() const { return unannounced_mean_; }
-  // Priority weight for each second of work; as a ratio of the mean of what arrives.
+  // Priority weight per second of work.
   double value_per_work_second(const Query& query) const;
+  // The same, relative to the mean over all arrivals.
   double relative_value(const Query& query) const;
-  // Logarithm of the seconds of work that the query costs for each unit of its weight.
+  // Logarithm of the seconds of work per unit of the query's weight.
   double cost_per_value(const Query& query) const;
 
   void save(LearnedState& state) const;
@@ -51,11 +52,11 @@
 
  private:
   struct ClassState {
-    double arrivals = 0;  // that told their work
+    double arrivals = 0;  // with a work estimate
     double mean_estimated_work_s = 0;
     double cost_reports = 0;
-    double work_factor = 1;    // reported over told work
-    double memory_factor = 1;  // granted over told memory
+    double work_factor = 1;    // reported work / estimated work
+    double memory_factor = 1;  // granted memory / estimated memory
     Duration usual_time_left{};
     int usual_time_left_votes = 0;
   };
--- a/tests/unit/policy/rule_judge.h
+++ b/tests/unit/policy/rule_judge.h
@@ -1,4 +1,4 @@
-// Judges every action by the rules; it knows nothing of the module.
+// Checks every action of a controller against the rules, independently of the module's own code.
 #pragma once
 
 #include <map>
@@ -11,103 +11,107 @@
 namespace yokestream::policy::testing {
 
 struct RuleJudge {
-  explicit RuleJudge(const Settings& settings) : s(settings) {}
-  struct Seen {
+  explicit RuleJudge(const Settings& judged_settings) : settings(judged_settings) {}
+  struct QueryRecord {
     QueryArrived request;
-    Time came;
-    int finals = 0;
-    bool left = false;
-    std::vector<std::pair<std::string, Time>> tries;
-    std::vector<Outcome> ends;
-    std::size_t out() const { return tries.size() - ends.size(); }
+    Time arrived_at;
+    int final_answers = 0;
+    bool disconnected = false;
+    std::vector<std::pair<std::string, Time>> attempts;  // engine and time of each send
+    std::vector<Outcome> outcomes;                       // of the attempts that have ended
+    std::size_t in_flight() const { return attempts.size() - outcomes.size(); }
   };
-  const Settings s;
-  std::map<QueryId, Seen> seen;
-  std::map<std::string, EngineEntry> listed;
-  std::map<std::string, Time> removed_at;
-  std::vector<std::string> broken;
-  std::deque<Time> taken, extra;
-  std::map<OrderKey, std::vector<QueryId>> lines;
-  std::map<OrderKey, std::pair<Time, QueryId>> quiet_until;
+  const Settings settings;
+  std::map<QueryId, QueryRecord> queries;
+  std::map<std::string, EngineEntry> listed_engines;
+  std::map<std::string, Time> unavailable_since;  // engines that drain or are removed
+  std::vector<std::string> violations;
+  std::deque<Time> arrivals, retries;
+  std::map<OrderKey, std::vector<QueryId>> queries_by_key;  // in order of arrival
+  std::map<OrderKey, std::pair<Time, QueryId>> key_pauses;  // end of the pause, and the query that caused it
 
-  static bool ran(Outcome o) {
-    return o != Outcome::shed && o != Outcome::unreachable && o != Outcome::never_sent;
+  static bool may_have_run(Outcome outcome) {
+    return outcome != Outcome::shed && outcome != Outcome::unreachable && outcome != Outcome::never_sent;
   }
-  void need(bool good, const char* rule) {
-    if (!good) broken.push_back(rule);
+  const ClassSettings& class_of(const QueryRecord& query) const {
+    return settings.classes[static_cast<std::size_t>(query.request.query_class)];
   }
-  void act(Time now, const Action& action) {
-    if (const auto* send = std::get_if<Send>(&action)) on_send(now, *send);
-    if (const auto* refuse = std::get_if<Reject>(&action)) {
-      auto& q = seen.at(refuse->query);
-      need(q.finals++ == 0 && !q.left, "two final answers");
-      const auto& c = s.classes[static_cast<std::size_t>(q.request.query_class)];
-      bool may_have = q.out() > 0;
-      for (const Outcome o : q.ends) may_have |= ran(o);
-      need(!may_have || c.idempotency == Idempotency::idempotent ||
-               (c.idempotency == Idempotency::keyed &&
-                c.deduplication_scope == DeduplicationScope::everywhere),
-           "refused though it may have run");
+  void require(bool condition, const char* violation) {
+    if (!condition) violations.push_back(violation);
+  }
+  void check(Time now, const Action& action) {
+    if (const auto* send = std::get_if<Send>(&action)) check_send(now, *send);
+    if (const auto* reject = std::get_if<Reject>(&action)) {
+      auto& query = queries.at(reject->query);
+      require(query.final_answers++ == 0 && !query.disconnected, "two final answers");
+      const auto& query_class = class_of(query);
+      bool may_have = query.in_flight() > 0;
+      for (const Outcome outcome : query.outcomes) may_have |= may_have_run(outcome);
+      require(!may_have || query_class.idempotency == Idempotency::idempotent ||
+                  (query_class.idempotency == Idempotency::keyed &&
+                   query_class.deduplication_scope == DeduplicationScope::everywhere),
+              "rejected although it may have run");
     }
     if (const auto* fail = std::get_if<Fail>(&action)) {
-      auto& q = seen.at(fail->query);
-      need(q.finals++ == 0 && !q.left, "two final answers");
+      auto& query = queries.at(fail->query);
+      require(query.final_answers++ == 0 && !query.disconnected, "two final answers");
     }
   }
-  void on_send(Time now, const Send& send) {
-    auto& q = seen.at(send.query);
-    const auto& c = s.classes[static_cast<std::size_t>(q.request.query_class)];
-    const auto& e = listed.at(send.engine.name);
-    need(q.finals == 0 && !q.left, "sent after its end");
-    need(q.out() == 0, "two attempts at once");
-    need(q.tries.size() < s.max_attempts, "too many attempts");
-    if (removed_at.count(send.engine.name))
-      need(now - removed_at[send.engine.name] <= s.drain_grace, "drain");
-    if (!c.allowed_zones.empty())
-      need(std::count(c.allowed_zones.begin(), c.allowed_zones.end(), e.zone), "placement");
-    if (!c.allowed_kinds.empty())
-      need(std::count(c.allowed_kinds.begin(), c.allowed_kinds.end(), e.kind), "placement");
-    for (std::size_t i = 0; i < q.ends.size(); ++i) {
-      if (!ran(q.ends[i])) continue;
-      need(c.idempotency != Idempotency::non_idempotent, "unsafe repeated");
-      if (c.idempotency != Idempotency::keyed) continue;
-      need(now - q.tries[i].second <= c.deduplication_window, "keyed after its window");
-      const auto& first = listed.at(q.tries[i].first);
-      if (c.deduplication_scope == DeduplicationScope::cell)
-        need(first.cell == e.cell, "keyed outside its cell");
-      if (c.deduplication_scope == DeduplicationScope::zone)
-        need(first.zone == e.zone, "keyed outside its zone");
-    }
-    if (c.ordered && q.request.order_key) {
-      const auto key = *q.request.order_key;
-      for (const QueryId before : lines[key]) {
-        if (before == send.query) break;
-        const auto& b = seen.at(before);
-        need((b.finals > 0 || b.left) && b.out() == 0, "order");
-      }
-      const auto it = quiet_until.find(key);
-      if (it != quiet_until.end() && it->second.second != send.query)
-        need(now >= it->second.first, "order pause");
+  void check_send(Time now, const Send& send) {
+    auto& query = queries.at(send.query);
+    const auto& query_class = class_of(query);
+    const auto& entry = listed_engines.at(send.engine.name);
+    require(query.final_answers == 0 && !query.disconnected, "sent after its end");
+    require(query.in_flight() == 0, "two attempts at once");
+    require(query.attempts.size() < settings.max_attempts, "too many attempts");
+    if (unavailable_since.count(send.engine.name))
+      require(now - unavailable_since[send.engine.name] <= settings.drain_grace, "drain");
+    const auto& zones = query_class.allowed_zones;
+    if (!zones.empty()) require(std::count(zones.begin(), zones.end(), entry.zone), "placement");
+    const auto& kinds = query_class.allowed_kinds;
+    if (!kinds.empty()) require(std::count(kinds.begin(), kinds.end(), entry.kind), "placement");
+    for (std::size_t i = 0; i < query.outcomes.size(); ++i) {
+      if (!may_have_run(query.outcomes[i])) continue;
+      require(query_class.idempotency != Idempotency::non_idempotent, "non-idempotent query repeated");
+      if (query_class.idempotency != Idempotency::keyed) continue;
+      require(now - query.attempts[i].second <= query_class.deduplication_window,
+              "keyed query repeated after its window");
+      const auto& first = listed_engines.at(query.attempts[i].first);
+      if (query_class.deduplication_scope == DeduplicationScope::cell)
+        require(first.cell == entry.cell, "keyed query repeated outside its cell");
+      if (query_class.deduplication_scope == DeduplicationScope::zone)
+        require(first.zone == entry.zone, "keyed query repeated outside its zone");
     }
-    if (!q.tries.empty() && s.retry_budget_enabled) {
-      extra.push_back(now);
-      const auto within = [&](const std::deque<Time>& times) {
-        return std::count_if(times.begin(), times.end(),
-                             [&](Time t) { return t > now - s.retry_budget_window; });
-      };
-      need(static_cast<double>(within(extra)) <=
-               s.retry_budget_min_retries + s.retry_budget_ratio * static_cast<double>(within(taken)) + 1e-9,
-           "budget");
+    if (query_class.ordered && query.request.order_key) check_order(now, send, *query.request.order_key);
+    if (!query.attempts.empty() && settings.retry_budget_enabled) check_retry_budget(now);
+    query.attempts.emplace_back(send.engine.name, now);
+  }
+  void check_order(Time now, const Send& send, OrderKey key) {
+    for (const QueryId earlier_id : queries_by_key[key]) {
+      if (earlier_id == send.query) break;
+      const auto& earlier = queries.at(earlier_id);
+      require((earlier.final_answers > 0 || earlier.disconnected) && earlier.in_flight() == 0, "order");
     }
-    q.tries.emplace_back(send.engine.name, now);
+    const auto pause = key_pauses.find(key);
+    if (pause != key_pauses.end() && pause->second.second != send.query)
+      require(now >= pause->second.first, "order pause");
+  }
+  void check_retry_budget(Time now) {
+    retries.push_back(now);
+    const auto count_in_window = [&](const std::deque<Time>& times) {
+      return static_cast<double>(std::count_if(
+          times.begin(), times.end(), [&](Time time) { return time > now - settings.retry_budget_window; }));
+    };
+    require(count_in_window(retries) <= settings.retry_budget_min_retries +
+                                            settings.retry_budget_ratio * count_in_window(arrivals) + 1e-9,
+            "retry budget");
   }
-  void ended(Time now, QueryId id, Outcome o) {
-    auto& q = seen.at(id);
-    q.ends.push_back(o);
-    const auto& c = s.classes[static_cast<std::size_t>(q.request.query_class)];
-    if (c.ordered && q.request.order_key &&
-        (o == Outcome::timed_out || o == Outcome::reset || o == Outcome::cancelled)) {
-      quiet_until[*q.request.order_key] = {now + s.order_pause, id};
+  void record_outcome(Time now, QueryId id, Outcome outcome) {
+    auto& query = queries.at(id);
+    query.outcomes.push_back(outcome);
+    if (class_of(query).ordered && query.request.order_key &&
+        (outcome == Outcome::timed_out || outcome == Outcome::reset || outcome == Outcome::cancelled)) {
+      key_pauses[*query.request.order_key] = {now + settings.order_pause, id};
     }
   }
 };
--- a/tests/unit/policy/table_group_locks_test.cpp
+++ b/tests/unit/policy/table_group_locks_test.cpp
@@ -1,46 +1,46 @@
-// Queries that lock a table group, and those that wait for it.
+// Queries that lock a table group, and queries that wait for it.
 #include "manager_harness.h"
 
 namespace yokestream::policy::testing {
 namespace {
 
-TEST(TableGroupLocks, AvoidsAnEngineThatLocksItsTableGroup) {
+TEST(TableGroupLocks, SendsReadersToEnginesThatDoNotLockTheirTableGroup) {
   auto reader = make_class(), load = make_class(3s, 20s);
   reader.waits_for_table_group = true;
   load.locks_table_group = true;
   ManagerHarness manager(make_settings({reader, load}), {make_engine("a"), make_engine("b")});
-  const auto l = manager.arrive(1, 20s, 2s, 1);
-  int behind = 0;
+  const auto loading = manager.arrive(1, 20s, 2s, 1);
+  int blocked = 0;
   for (std::uint64_t id = 2; id < 8; ++id) {
-    const auto q = manager.arrive(id, 5s, 100ms, 0);
-    behind += manager.attempt_count(q) && manager.sends[q].front() == manager.sends[l].front();
+    const auto query = manager.arrive(id, 5s, 100ms, 0);
+    blocked += manager.attempt_count(query) && manager.sends[query].front() == manager.sends[loading].front();
   }
-  EXPECT_EQ(behind, 0);
+  EXPECT_EQ(blocked, 0);
 }
 
-TEST(TableGroupLocks, HeedsAPeersLockUntilItsEnd) {
+TEST(TableGroupLocks, AvoidsAnEngineLockedByAPeersQuery) {
   auto reader = make_class(), load = make_class(3s, 20s);
   reader.waits_for_table_group = true;
   load.locks_table_group = true;
-  auto s = make_settings({reader, load});
-  s.manager_count = 2;
-  s.may_message = true;
-  ManagerHarness peer(s), manager(s);
+  auto settings = make_settings({reader, load});
+  settings.manager_count = 2;
+  settings.may_message = true;
+  ManagerHarness peer(settings), manager(settings);
   std::string begin;
   QueryArrived announced;
   announced.query = QueryId{1};
   announced.query_class = ClassId{1};
   announced.work = 2s;
   announced.time_left = 20s;
-  for (const Action& a : peer.feed(announced)) {
-    if (const auto* t = std::get_if<BroadcastToPeers>(&a)) begin = t->payload;
+  for (const Action& action : peer.feed(announced)) {
+    if (const auto* broadcast = std::get_if<BroadcastToPeers>(&action)) begin = broadcast->payload;
   }
   ASSERT_FALSE(begin.empty());
-  const std::string where = peer.sends[announced.query].front();
+  const std::string locked_engine = peer.sends[announced.query].front();
   manager.feed(PeerMessage{ManagerId{1}, begin});
-  manager.feed(PeerMessage{ManagerId{1}, "no such thing"});
-  const auto q = manager.arrive(2);
-  EXPECT_NE(manager.sends[q].front(), where);
+  manager.feed(PeerMessage{ManagerId{1}, "not a valid message"});
+  const auto query = manager.arrive(2);
+  EXPECT_NE(manager.sends[query].front(), locked_engine);
 }
 
 }  // namespace
