--- a/include/yokestream/policy/actions.h
+++ b/include/yokestream/policy/actions.h
@@ -1,5 +1,4 @@
-// The actions that an AdmissionController asks its caller to carry out (admission_controller.h). Plain
-// values.
+// The actions that an AdmissionController requests from its caller (admission_controller.h). Plain values.
 #pragma once
 
 #include <cstdint>
--- a/include/yokestream/policy/admission_controller.h
+++ b/include/yokestream/policy/admission_controller.h
@@ -2,8 +2,7 @@
 //
 // Pass every event that a workload manager sees to AdmissionController::handle() and carry out the actions
 // that it appends, in order.
-//  - Times are points on the caller's clock, in nanoseconds. Its origin is arbitrary; it must not go
-//  backwards.
+//  - Times are points on the caller's clock in nanoseconds, which has any origin and never goes backwards.
 //  - The controller is deterministic: it uses no clock, thread, file, socket or global state, so the same
 //    settings, seed and events give the same actions.
 //  - A controller is not thread-safe. Separate controllers share no state.
--- a/include/yokestream/policy/learned_state.h
+++ b/include/yokestream/policy/learned_state.h
@@ -1,5 +1,4 @@
-// Snapshot of the estimates that an AdmissionController has learned, for a controller that takes over from
-// it.
+// Snapshot of the estimates that an AdmissionController has learned, for a controller that replaces it.
 //
 // Classes and kinds are in the order of the settings. Queries in flight are not part of the snapshot.
 #pragma once
--- a/include/yokestream/policy/settings.h
+++ b/include/yokestream/policy/settings.h
@@ -63,18 +63,18 @@
   // A response within latency_objective + latency_objective_stretch x work / threads earns the full weight.
   Duration latency_objective{};
   double latency_objective_stretch = 0;
-  Duration deadline{};  // for which a client waits, over all of its retries
+  Duration deadline{};  // how long a client waits, over all of its retries
   double priority_weight = 1;
-  double late_weight_ratio = 0;  // ratio of the weight that a response after the objective earns
+  double late_weight_ratio = 0;  // fraction of the weight that a response after the objective earns
   Idempotency idempotency = Idempotency::idempotent;
   DeduplicationScope deduplication_scope = DeduplicationScope::everywhere;
-  Duration deduplication_window{};  // for which engines remember a key, from the first send that may have run
+  Duration deduplication_window{};  // how long engines remember a key, from the first send that may have run
   bool ordered = false;             // queries of one OrderKey run one at a time, in order of arrival
   bool streamed = false;
   std::vector<ZoneId> allowed_zones;   // empty: any
   std::vector<KindId> allowed_kinds;   // empty: any
-  double threads = 1;                  // that run one query
-  bool locks_table_group = false;      // exclusively while it runs
+  double threads = 1;                  // used by one query
+  bool locks_table_group = false;      // holds an exclusive lock on its table group while it runs
   bool waits_for_table_group = false;  // makes no progress while its table group is locked
 };
 struct KindSettings {
@@ -92,7 +92,7 @@
   std::size_t zones = 1;
   ZoneId local_zone{};
   ManagerId manager_id{};
-  std::uint32_t manager_count = 1;  // that share the engines, including this one
+  std::uint32_t manager_count = 1;  // managers that share the engines, including this one
   Duration time_granularity{};      // minimum difference between the times of two calls
 
   bool may_cancel = false;            // attempts can be cancelled
@@ -110,19 +110,19 @@
   bool query_priorities = false;      // engines honor SetExecutionTerms::priority
   double max_memory_grant_ratio = 1;  // of an engine's memory, per query
   MemoryShortage memory_shortage = MemoryShortage::wait;
-  Duration progress_interval{};        // between two progress reports of an attempt; 0: no reports
+  Duration progress_interval{};        // time between two progress reports of an attempt; 0: no reports
   bool reports_cost = false;           // responses report the work and the memory that a query needed
   double over_quota_weight_ratio = 1;  // factor on the weight of queries beyond the tenant's quota
 
-  Duration answer_slack{};              // a final answer is due within this time after the deadline
-  Duration drain_grace{};               // after an engine drains, in which sends to it are tolerated
+  Duration answer_slack{};  // a final answer is due within this time after the deadline
+  Duration drain_grace{};   // sends to an engine are tolerated for this time after it starts draining
   double slow_start_initial_ratio = 1;  // fraction of its capacity that an engine has when it starts
   Duration slow_start_window{};         // an engine is warm after this time; 0: engines start warm
   // An engine in slow start is overloaded by work of this multiple of its current capacity within the window.
   double cold_overload_multiple = 0;  // 0: no limit
   Duration cold_overload_window{};
   Duration engine_list_request_deadline{};  // the list must be requested within this time
-  Duration order_pause{};                   // of an order key after an attempt that may still be running
+  Duration order_pause{};  // pause of an order key after an attempt that may still be running
   // Allows, within the window, the minimum number of retries plus the ratio of the requests that arrived.
   bool retry_budget_enabled = false;
   double retry_budget_min_retries = 0;
--- a/src/policy/latency_estimator.cpp
+++ b/src/policy/latency_estimator.cpp
@@ -6,8 +6,8 @@
 namespace yokestream::policy {
 namespace {
 
-// Fractions of an error that one outcome corrects (normalized LMS); smaller for a bias, as all engines share
-// it.
+// Fractions of an error that one outcome corrects (normalized LMS); smaller for a bias, which all engines
+// share.
 constexpr double kInterferenceLearningRate = 0.15;
 constexpr double kBiasLearningRate = 0.05;
 constexpr double kMeanErrorWeight = 0.05;      // weight of one outcome in the mean errors
--- a/src/policy/ordered_keys.h
+++ b/src/policy/ordered_keys.h
@@ -17,7 +17,8 @@
   void remove(OrderKey key, QueryId query);
   // Delays the first send of further queries with this key until `until`.
   void pause(OrderKey key, Time until);
-  // Whether the query is the first of its key and the key is not paused. Always true for unordered classes.
+  // Whether the query is the first of its key and the key is not paused; a pause does not delay retries.
+  // Always true for unordered classes.
   bool is_next(const Query& query, const ClassSettings& query_class, Time now) const;
 
  private:
--- a/tests/unit/policy/admission_limit_test.cpp
+++ b/tests/unit/policy/admission_limit_test.cpp
@@ -6,11 +6,11 @@
 
 TEST(AdmissionLimit, CountsTheObjectiveOfARetryFromTheFirstRequest) {
   auto settings = make_settings({make_class(1s, 5s)});
-  const auto rejections_with = [&](Duration left) {
+  const auto rejections_with = [&](Duration time_left) {
     ManagerHarness manager(settings, {make_engine("a")});
     std::uint64_t id = 1;
     for (; id <= 20; ++id) manager.arrive(id, 5s);  // saturated: only the objective counts
-    const auto query = manager.arrive(id, left);
+    const auto query = manager.arrive(id, time_left);
     return manager.rejections[query];
   };
   EXPECT_EQ(rejections_with(5s), 0);
@@ -84,14 +84,14 @@
 
 TEST(AdmissionLimit, DoesNotTreatAnImpatientClientAsARetry) {
   auto settings = make_settings({make_class(1s, 5s)});
-  const auto rejections_with = [&](Duration left, bool is_retry) {
+  const auto rejections_with = [&](Duration time_left, bool is_retry) {
     ManagerHarness manager(settings, {make_engine("a")});
     std::uint64_t id = 1;
     for (; id <= 20; ++id) manager.arrive(id, 5s);  // saturated: only the objective counts
     QueryArrived request;
     request.query = QueryId{id};
     request.work = 100ms;
-    request.time_left = left;
+    request.time_left = time_left;
     request.is_retry = is_retry;
     manager.feed(request);
     return manager.rejections[request.query];
--- a/tests/unit/policy/admission_threshold_test.cpp
+++ b/tests/unit/policy/admission_threshold_test.cpp
@@ -11,9 +11,9 @@
     settings.kinds = {{64, 0}};
     return settings;
   }
-  // Lets `count` queries arrive at this interval and serves each after `took`, or ten times that. Returns how
-  // many were sent.
-  int run(int count, Duration interval, Duration took) {
+  // Lets `count` queries arrive at this interval and serves each after `service_time`, or ten times that.
+  // Returns how many were sent.
+  int run(int count, Duration interval, Duration service_time) {
     int sent = 0;
     for (int i = 0; i < count; ++i) {
       ++id;
@@ -21,7 +21,7 @@
       manager.advance(interval);
       if (!manager.attempt_count(query)) continue;
       ++sent;
-      manager.end_attempt(query, Outcome::served, id % 10 ? took : 10 * took);
+      manager.end_attempt(query, Outcome::served, id % 10 ? service_time : 10 * service_time);
     }
     return sent;
   }
--- a/tests/unit/policy/concurrency_bound_test.cpp
+++ b/tests/unit/policy/concurrency_bound_test.cpp
@@ -105,12 +105,13 @@
   settings.manager_count = 10;
   std::vector<EngineEntry> engines;
   for (int i = 0; i < 20; ++i) engines.push_back(make_engine("e" + std::to_string(i)));
-  const auto sent_after = [&](Duration took) {
+  const auto sent_after = [&](Duration service_time) {
     ManagerHarness manager(settings, engines);
     for (std::uint64_t id = 1; id <= 60; ++id) {
       const auto query = manager.arrive(id, 8s);
       manager.advance(20ms);
-      if (manager.attempt_count(query)) manager.end_attempt(query, Outcome::served, id <= 30 ? 100ms : took);
+      if (manager.attempt_count(query))
+        manager.end_attempt(query, Outcome::served, id <= 30 ? 100ms : service_time);
     }
     std::size_t sent = 0;
     for (std::uint64_t id = 100; id < 140; ++id) sent += manager.attempt_count(manager.arrive(id, 8s));
@@ -126,8 +127,8 @@
   std::vector<EngineEntry> engines;
   for (int i = 0; i < 8; ++i) engines.push_back(make_engine("e" + std::to_string(i)));
   ManagerHarness manager(settings, engines);
-  manager.end_attempt(manager.arrive(2000, 40s, 10s), Outcome::served,
-                      10s);  // the highest cost, so the admission threshold rejects no later query
+  // This query has the highest cost, so the admission threshold rejects none of the later ones.
+  manager.end_attempt(manager.arrive(2000, 40s, 10s), Outcome::served, 10s);
   for (std::uint64_t id = 1; id <= 300; ++id) {
     const auto query = manager.arrive(id, 40s);
     manager.advance(20ms);
