--- a/src/policy/engine_events.cpp
+++ b/src/policy/engine_events.cpp
@@ -116,7 +116,7 @@
   outliers_.record_response(engine->outlier, now_);
   if (engine->outlier.ejected) {
     outliers_.record_success(engine->outlier, now_);
-    bound_.record_answer(engine->concurrency);
+    bound_.record_response(engine->concurrency);
   }
   read_report(*engine, event.load_report);
 }
@@ -155,7 +155,7 @@
   emit(StartTimer{kTickInterval, kTickTimer});
   retries_.expire(now_);
   refresh_engines();
-  watch_silent_engines();
+  check_silent_engines();
   const double elapsed_s = threshold_.advance(now_);
   congestion_.decay(elapsed_s);
   threshold_.update(elapsed_s, congestion_.congestion());
@@ -164,7 +164,7 @@
 // Failure: an engine or its network path fails silently. Symptom: all queries on it run into their deadlines.
 // Guard: an engine with queries in flight that has sent neither progress nor an answer for too long is
 // ejected, and the queries that may be cancelled are sent elsewhere.
-void AdmissionController::Impl::watch_silent_engines() {
+void AdmissionController::Impl::check_silent_engines() {
   if (stall_.is_recovering(now_, kSilenceStallRecoveryTicks)) return;
   const Duration limit = watchdog_.max_silence();
   for (auto& [name, engine] : engines_.all()) {
