--- a/src/dispatch/budget.h
+++ b/src/dispatch/budget.h
@@ -23,7 +23,7 @@
     return *this;
   }
   ~Reservation();
-  std::size_t bytes() const { return bytes_; }
+  std::size_t amount() const { return bytes_; }
 
  private:
   friend class Budget;
@@ -37,7 +37,7 @@
   explicit Budget(std::size_t bytes) : limit_(bytes) {}
   // Adds to what `reservation` has already. False: not so much is left, and nothing was reserved.
   bool try_reserve(Reservation& reservation, std::size_t bytes) {
-    if (used_.fetch_add(bytes) + bytes > limit_ - std::min(limit_, set_aside_.load())) {
+    if (used_.fetch_add(bytes) + bytes > limit_ - std::min(limit_, withheld_.load())) {
       used_ -= bytes;
       return false;
     }
@@ -47,13 +47,13 @@
   }
   std::size_t reserved() const { return used_; }
   // So many bytes may not be reserved for now; what is reserved already stays.
-  void set_aside(std::size_t bytes) { set_aside_ = bytes; }
+  void set_withheld(std::size_t bytes) { withheld_ = bytes; }
 
  private:
   friend class Reservation;
   const std::size_t limit_;
   std::atomic<std::size_t> used_{0};
-  std::atomic<std::size_t> set_aside_{0};
+  std::atomic<std::size_t> withheld_{0};
 };
 
 inline Reservation::~Reservation() {
--- a/src/dispatch/client_responder.cpp
+++ b/src/dispatch/client_responder.cpp
@@ -91,7 +91,7 @@
 }
 
 void ClientResponder::close_if_idle(SessionId session) {
-  if (!use_.clients.close_if_idle(session)) use_.sessions.keep_open(session);
+  if (!use_.clients.close_if_idle(session)) use_.sessions.cancel_close(session);
 }
 
 void ClientResponder::close_finished_stalled() {
--- a/src/dispatch/client_sessions.cpp
+++ b/src/dispatch/client_sessions.cpp
@@ -99,7 +99,7 @@
   return std::any_of(sessions_.begin(), sessions_.end(), [](const auto& s) { return s.second.closing; });
 }
 
-void ClientSessions::keep_open(SessionId id) {
+void ClientSessions::cancel_close(SessionId id) {
   if (Session* session = find(id)) session->closing = false;
 }
 
--- a/src/dispatch/client_sessions.h
+++ b/src/dispatch/client_sessions.h
@@ -52,8 +52,8 @@
   // Those to be closed as they have nothing open: for too long, or, oldest first, as connections run short;
   // with `min_idle`, each that is not new and was idle for so long. Each is returned once.
   std::vector<SessionId> take_idle(Time now, std::optional<Duration> min_idle);
-  void keep_open(SessionId id);  // one that was returned could not be closed: something has come from it
-  bool any_closing() const;      // whether one that was returned is still there
+  void cancel_close(SessionId id);  // one that was returned could not be closed: something has come from it
+  bool any_closing() const;         // whether one that was returned is still there
   bool empty() const { return sessions_.empty(); }
 
  private:
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -69,7 +69,7 @@
   // reported as applied.
   bool conforms_to_routes() const { return attempts_.conforms_to_routes(); }
   std::int64_t routes_epoch() const { return routes_.epoch(); }
-  const routing::OutcomeTallies& tallies() const { return routes_.tallies(); }
+  const routing::OutcomeTallies& outcome_tallies() const { return routes_.outcome_tallies(); }
 
   std::size_t open_requests() const { return requests_.open_call_count(); }
   const ServiceLifecycle& lifecycle() const { return service_.lifecycle(); }
--- a/src/dispatch/route_guard.h
+++ b/src/dispatch/route_guard.h
@@ -36,7 +36,7 @@
   bool bars(const routing::Route& route, const std::string& engine_uid) const;
 
   void record_outcome(Time now, const Request& request, bool served);
-  const routing::OutcomeTallies& tallies() const { return tallies_; }
+  const routing::OutcomeTallies& outcome_tallies() const { return tallies_; }
 
  private:
   const policy::ClassSettings& class_of(const RequestReceived& request) const;
--- a/src/net/client_reading.cpp
+++ b/src/net/client_reading.cpp
@@ -65,7 +65,7 @@
 // their responses, so its connection is not closed for that.
 bool ClientSession::reserve_partial_message() {
   const std::size_t pending = reader_.pending();
-  const std::size_t reserved = partial_message_reservation_.bytes();
+  const std::size_t reserved = partial_message_reservation_.amount();
   if (pending == 0) {
     message_deadline_ = Time::max();
     partial_message_reservation_ = {};
--- a/src/net/fleet_state_applier.cpp
+++ b/src/net/fleet_state_applier.cpp
@@ -38,9 +38,9 @@
 }
 
 void FleetStateApplier::report_outcomes() {
-  if (dispatcher_.tallies().empty() || now() < next_report_) return;
+  if (dispatcher_.outcome_tallies().empty() || now() < next_report_) return;
   next_report_ = now() + kReportInterval;
-  coordination_.tally(dispatcher_.tallies());
+  coordination_.tally(dispatcher_.outcome_tallies());
 }
 
 }  // namespace yokestream::net
--- a/src/upgrade/upgrade_coordinator.cpp
+++ b/src/upgrade/upgrade_coordinator.cpp
@@ -63,8 +63,8 @@
 void UpgradeCoordinator::share_limits() {
   group_.publish_usage({session_slots_.reserved(), memory_budget_.reserved()});
   const PeerUsage peers = group_.peer_usage();
-  session_slots_.set_aside(peers.sessions);
-  memory_budget_.set_aside(peers.bytes);
+  session_slots_.set_withheld(peers.sessions);
+  memory_budget_.set_withheld(peers.bytes);
   dispatcher_.set_peer_process_count(peers.serving_processes);
 }
 
--- a/tests/node/process_group_test.cpp
+++ b/tests/node/process_group_test.cpp
@@ -76,13 +76,13 @@
   dispatch::Budget budget(10);
   dispatch::Reservation six, more;
   REQUIRE(budget.try_reserve(six, 6));
-  budget.set_aside(3);
+  budget.set_withheld(3);
   CHECK_FALSE(budget.try_reserve(more, 2));
   CHECK(budget.try_reserve(more, 1));
-  budget.set_aside(100);
+  budget.set_withheld(100);
   CHECK_FALSE(budget.try_reserve(more, 1));
   CHECK(budget.reserved() == 7);
-  budget.set_aside(0);
+  budget.set_withheld(0);
   CHECK(budget.try_reserve(more, 3));
 }
 
--- a/tests/node/sessions_test.cpp
+++ b/tests/node/sessions_test.cpp
@@ -36,7 +36,7 @@
   sessions.remove(id(3));
   CHECK((sessions.add(at, id(5)) == id(4)));
   CHECK((sessions.add(at, id(6)) == id(5)));
-  sessions.keep_open(id(4));  // something had come from it
+  sessions.cancel_close(id(4));  // something had come from it
   CHECK((sessions.add(at, id(7)) == id(4)));
 }
 
