--- a/src/dispatch/admission_stages.cpp
+++ b/src/dispatch/admission_stages.cpp
@@ -13,7 +13,8 @@
 
 constexpr Duration kLogInterval = std::chrono::seconds(10);
 
-// Where the scheduler stands behind the throttle, that one admits more than runs: the scheduler queues it.
+// With a scheduler behind it, the throttle admits more work than the engines can run: the scheduler queues
+// the excess.
 door::Settings throttle_settings(const config::Config& config) {
   door::Settings settings = config.door;
   if (config.queues.on) settings.room = config.queues.room;
@@ -141,7 +142,7 @@
   if (throttle_) log_throttle_metrics();
 }
 
-// The keys are those of the operators' pages.
+// The keys are documented for the operators and must not change.
 void AdmissionStages::log_throttle_metrics() {
   const door::Figures f = throttle_->figures();
   if (std::exchange(logged_rejections_, f.turned_away) == f.turned_away) return;
--- a/src/dispatch/admission_stages.h
+++ b/src/dispatch/admission_stages.h
@@ -1,10 +1,10 @@
-// The admission stages in front of the decision module, where they are switched on: the throttle (per-tenant
-// fair admission), then the scheduler (budgets, priorities, wait forecasts).
+// The optional admission stages in front of the decision module: the throttle (fair admission per tenant),
+// followed by the scheduler (budgets, priorities and wait forecasts).
 //
-// Owns both stages and the time of their next log line. Decides nothing about requests and calls no port: a
-// stage returns its verdict, and RequestAdmission carries it out. What waits in a stage has not been
-// submitted to the decision module, so nothing of it can have run. Each stage is notified once of the end of
-// every request that it admitted or queued. One thread.
+// Owns both stages and the time of their next log line. It makes no decision about requests and calls no
+// port: a stage returns its verdict, and RequestAdmission carries it out. A request that is queued in a stage
+// has not been submitted to the decision module, so no engine can have run it. Each stage is notified exactly
+// once when a request that it admitted or queued has finished. Not thread-safe.
 #pragma once
 
 #include <optional>
@@ -26,35 +26,36 @@
   bool has_scheduler() const { return scheduler_.has_value(); }
   const queues::Queues* scheduler() const { return scheduler_ ? &*scheduler_ : nullptr; }
 
-  // Settings that a reload may change; ignored where the stage is off.
+  // Apply the settings that a reload may change; no effect where the stage is disabled.
   void configure_throttle(const door::Settings& settings);
   void configure_scheduler(Time now, const queues::Settings& settings);
-  void set_cores(Time now, double cores);  // this manager's part of the engines
+  void set_cores(Time now, double cores);  // this manager's share of the engines' cores
 
-  // has_throttle() only. `origin`: the client's address as a number.
+  // Requires has_throttle(). `origin` is the client's address as a number.
   door::Verdict offer_to_throttle(Time now, policy::QueryId query, const RequestReceived& request,
                                   std::uint64_t origin);
-  // has_scheduler() only. `cost_s`: core seconds by the throttle's estimate; 0: none.
+  // Requires has_scheduler(). `cost_s` is the throttle's estimate in core seconds; 0 if there is none.
   queues::Verdict offer_to_scheduler(Time now, policy::QueryId query, const RequestReceived& request,
                                      double cost_s);
-  queues::Quote quote(Time now, const RequestReceived& request);  // has_scheduler() only
-  // The next waiting request that is admitted or rejected; nullopt: none is.
+  queues::Quote quote(Time now, const RequestReceived& request);  // requires has_scheduler()
+  // Returns the next queued request that the stage admits or rejects; nullopt if there is none.
   std::optional<door::Moved> next_from_throttle(Time now);
   std::optional<queues::Moved> next_from_scheduler(Time now);
-  Time next_due(Time now) const;  // Time::max(): neither stage waits for a time
+  Time next_due(Time now) const;  // Time::max() if neither stage needs a timer
 
-  // The priority band with which an attempt starts.
+  // Returns the priority band in which the attempt starts.
   std::uint32_t on_attempt_started(Time now, policy::QueryId query, const std::string& engine,
                                    std::uint32_t requested_priority);
   void on_attempt_ended(policy::QueryId query);
-  // The band that the engine is to be notified of; nullopt: it stays.
+  // Returns the band to send to the engine; nullopt if the band doesn't change.
   std::optional<std::uint32_t> on_priority_requested(Time now, policy::QueryId query, std::uint32_t priority);
   std::optional<queues::Bands::Change> next_band_change(Time now);
   void on_request_finished(Time now, policy::QueryId query, const door::Outcome& outcome);
 
   std::optional<door::Figures> throttle_metrics() const;
   std::optional<queues::Figures> scheduler_metrics() const;
-  // Writes the stages' metrics to the log, every 10 s at most, while requests wait or are rejected.
+  // Logs the metrics of a stage, at most once per 10 s, if requests were queued or rejected since the last
+  // line.
   void log_metrics_if_due(Time now);
 
  private:
--- a/src/dispatch/attempt_tracker.h
+++ b/src/dispatch/attempt_tracker.h
@@ -1,17 +1,19 @@
-// Attempts and their phases: from the decision module's choice to a connection, and to the one end of each.
+// Tracks attempts through their phases, from the decision module's choice of an engine to the end of the
+// attempt.
 //
-//   phase       from         an engine may run it   ends by
-//   connecting  no connection  no                   reconnect (in_flight), withdrawn, given up
-//   in_flight   sent           yes                  result, fault, timeout, disconnect, cancel
-//   cancelling  cancel sent    yes                  confirmation, result, fault, disconnect, timeout
-//   fetching    result came    it ran               last page, fault, timeout, disconnect
+//   phase       entered when            may run on the engine  ends by
+//   connecting  there is no connection  no                     reconnect (-> in_flight), withdrawal, timeout
+//   in_flight   the query was sent      yes                    result, fault, timeout, disconnect, cancel
+//   cancelling  the cancel was sent     yes                    confirmation, result, fault, disconnect,
+//   timeout fetching    the result arrived      has run                last page, fault, timeout, disconnect
 //
-// Owns the tag of the last attempt; the attempts are in the requests of the RequestTable. Invariants: a
-// request has one attempt at most; the next starts only after end(), when the engine responded, its
-// connection ended, nothing of it was written (withdrawn), or the engine confirmed the cancel. Every attempt
-// ends exactly once, and the decision module is notified of each. Nothing new goes to an engine that is not
-// available. A lack on this machine (descriptors, ports) is never reported as a fault of the engine. One
-// thread.
+// Owns the tag of the last attempt; attempts are stored in the requests of the RequestTable. Invariants:
+//  - A request has at most one attempt. The next one starts only after end(): the engine responded, its
+//    connection closed, nothing of the attempt was written (withdrawn), or the engine confirmed the cancel.
+//  - Every attempt ends exactly once, and the decision module is notified of it.
+//  - Nothing new is sent to an engine that is not available.
+//  - A shortage of local resources (descriptors, ports) is never reported as a fault of the engine.
+// Not thread-safe.
 #pragma once
 
 #include "config/config.h"
@@ -23,7 +25,7 @@
 
 class AttemptTracker {
  public:
-  struct Collaborators {
+  struct Dependencies {
     const config::Config& config;
     const DispatchClock& clock;
     ClientPort& clients;
@@ -38,7 +40,7 @@
     ClientResponder& responder;
     PolicyEventQueue& policy_events;
   };
-  explicit AttemptTracker(const Collaborators& collaborators) : use_(collaborators) {}
+  explicit AttemptTracker(const Dependencies& dependencies) : deps_(dependencies) {}
 
   // Actions of the decision module.
   void handle(const policy::Send& send);
@@ -52,22 +54,23 @@
 
   void handle(const EngineConnected& connected);
   void handle(const EngineDisconnected& disconnected);
-  // Closes a connection that is not to be trusted any more, and ends all attempts on it.
+  // Closes a connection that can no longer be trusted, and ends all attempts on it.
   void close_connection(EngineConnectionId connection, const char* cause);
 
-  // Ends the attempt: notifies the decision module, and forgets the request if it is done.
+  // Ends the attempt: notifies the decision module, and removes the request if it is done.
   void end(policy::QueryId query, Request& request, policy::Outcome outcome);
-  // The same from this side, now: the engine is notified where it may still run, late responses are dropped.
+  // Ends an attempt that may still be running: cancels it at the engine first, or releases its result. Later
+  // responses are dropped.
   void abandon(policy::QueryId query, Request& request, policy::Outcome outcome);
 
-  // Withdraws unwritten attempts at engines that are no longer available.
+  // Withdraws unwritten attempts from engines that are no longer available.
   void withdraw_from_unavailable();
-  // After a change of routes: notifies the decision module of what each request may use now, and withdraws
-  // unwritten attempts at engines that are barred.
+  // Applies changed routes: notifies the decision module of the engines that each request may use now, and
+  // withdraws unwritten attempts from engines that are excluded.
   void enforce_routes();
-  // Whether no attempt is in flight that the present routes would not let out.
+  // Returns true if the current routes allow every attempt in flight.
   bool conforms_to_routes() const;
-  // Notifies engines of the priority bands that the scheduler has changed.
+  // Sends the priority bands that the scheduler has changed to the engines.
   void send_band_changes();
 
  private:
@@ -77,9 +80,9 @@
   bool send_on_connection(policy::QueryId query, Request& request, const EngineRecord& engine);
   bool schedule_reconnect(policy::QueryId query, Attempt& attempt);
   bool withdraw(const Attempt& attempt);
-  bool is_barred(const Request& request, const std::string& engine_uid) const;
+  bool is_excluded_by_route(const Request& request, const std::string& engine_uid) const;
 
-  Collaborators use_;
+  Dependencies deps_;
   AttemptTag last_tag_ = 0;
 };
 
--- a/src/dispatch/budget.h
+++ b/src/dispatch/budget.h
@@ -1,4 +1,5 @@
-// A bound on the memory of all statements and results together, in bytes.
+// A thread-safe limit on a countable resource, such as bytes of statements and results, client connections or
+// reader threads.
 #pragma once
 
 #include <algorithm>
@@ -10,44 +11,44 @@
 
 class Budget;
 
-// Bytes reserved from a budget; the destructor returns them. Must not outlive the budget. Movable, one
-// thread.
+// An amount reserved from a budget; the destructor returns it. Must not outlive the budget. Movable, not
+// thread-safe.
 class Reservation {
  public:
   Reservation() = default;
   Reservation(Reservation&& other) noexcept
-      : budget_(std::exchange(other.budget_, nullptr)), bytes_(std::exchange(other.bytes_, 0)) {}
+      : budget_(std::exchange(other.budget_, nullptr)), amount_(std::exchange(other.amount_, 0)) {}
   Reservation& operator=(Reservation&& other) noexcept {
     std::swap(budget_, other.budget_);
-    std::swap(bytes_, other.bytes_);
+    std::swap(amount_, other.amount_);
     return *this;
   }
   ~Reservation();
-  std::size_t amount() const { return bytes_; }
+  std::size_t amount() const { return amount_; }
 
  private:
   friend class Budget;
   Budget* budget_ = nullptr;
-  std::size_t bytes_ = 0;
+  std::size_t amount_ = 0;
 };
 
 // Thread-safe.
 class Budget {
  public:
-  explicit Budget(std::size_t bytes) : limit_(bytes) {}
-  // Adds to what `reservation` has already. False: not so much is left, and nothing was reserved.
-  bool try_reserve(Reservation& reservation, std::size_t bytes) {
-    if (used_.fetch_add(bytes) + bytes > limit_ - std::min(limit_, withheld_.load())) {
-      used_ -= bytes;
+  explicit Budget(std::size_t limit) : limit_(limit) {}
+  // Adds `amount` to `reservation`. Returns false, and reserves nothing, if less than that is available.
+  bool try_reserve(Reservation& reservation, std::size_t amount) {
+    if (used_.fetch_add(amount) + amount > limit_ - std::min(limit_, withheld_.load())) {
+      used_ -= amount;
       return false;
     }
     reservation.budget_ = this;
-    reservation.bytes_ += bytes;
+    reservation.amount_ += amount;
     return true;
   }
   std::size_t reserved() const { return used_; }
-  // So many bytes may not be reserved for now; what is reserved already stays.
-  void set_withheld(std::size_t bytes) { withheld_ = bytes; }
+  // Makes `amount` unavailable to new reservations until the next call. Existing reservations are kept.
+  void set_withheld(std::size_t amount) { withheld_ = amount; }
 
  private:
   friend class Reservation;
@@ -57,7 +58,7 @@
 };
 
 inline Reservation::~Reservation() {
-  if (budget_) budget_->used_ -= bytes_;
+  if (budget_) budget_->used_ -= amount_;
 }
 
 }  // namespace yokestream::dispatch
--- a/src/dispatch/client_responder.h
+++ b/src/dispatch/client_responder.h
@@ -1,7 +1,8 @@
-// The one class that sends clients their final answers (result, rejection, failure) and closes their calls.
+// Sends clients their final responses (result, rejection or failure) and closes their calls. No other class
+// does either.
 //
-// Owns no state: calls are in the RequestTable, connections in the ClientSessions. Invariant: every call that
-// is closed has had its one final answer, or its client wants none any more. One thread.
+// Stateless: calls are stored in the RequestTable, connections in ClientSessions. Invariant: a call is closed
+// only after its single final response was sent, or when its client no longer wants one. Not thread-safe.
 #pragma once
 
 #include <string_view>
@@ -17,7 +18,7 @@
 
 class ClientResponder {
  public:
-  struct Collaborators {
+  struct Dependencies {
     const config::Config& config;
     const DispatchClock& clock;
     ClientPort& clients;
@@ -27,9 +28,9 @@
     PolicyEventQueue& policy_events;
     figures::Figures& metrics;
   };
-  explicit ClientResponder(const Collaborators& collaborators) : use_(collaborators) {}
+  explicit ClientResponder(const Dependencies& dependencies) : deps_(dependencies) {}
 
-  // Answers to what is not in the RequestTable, or whose call the caller closes.
+  // Responses to requests that are not in the RequestTable, or whose call the caller closes.
   void reject(const RequestReceived& request, Duration retry_after);
   void fail(const RequestReceived& request, std::string_view cause);
   void fail(const BadRequest& bad);
@@ -37,27 +38,28 @@
   void send_quote(const RequestReceived& request, const queues::Quote& quote);
   void attach_quote(const RequestReceived& request, const queues::Quote& quote);
 
-  // The result of the attempt, whose rows and memory move to the client. Closes the call.
+  // Sends the result of the attempt, moves its rows and their memory reservation to the client, and closes
+  // the call.
   void send_result(Request& request);
   // Fails an open request and closes its call.
   void fail_open(Request& request, std::string_view cause);
-  // Rejects a request that was never submitted to the decision module: nothing of it can have run.
-  // Invalidates references to it, as do the calls below.
+  // Rejects a request that was never submitted to the decision module, so no engine can have run it.
+  // This call and the ones below invalidate references to the request.
   void reject_unsubmitted(policy::QueryId query, Duration retry_after);
   void handle(const policy::Reject& rejection);
   void handle(const policy::Fail& failure);
-  // Nothing is owed to the client any more; the decision module cancels what is in flight for it.
+  // Closes the call without a response. The decision module cancels an attempt that is still in flight.
   void abandon(policy::QueryId query);
 
-  // Closes the connection unless something has come from it that was not handled yet.
+  // Closes the connection unless it has received something that was not handled yet.
   void close_if_idle(SessionId session);
-  // Closes stalled connections on which nothing is open any more, once their answers are written.
+  // Closes stalled connections that have no open request left, once their responses are written.
   void close_finished_stalled();
 
  private:
   void close_call(Request& request);
 
-  Collaborators use_;
+  Dependencies deps_;
 };
 
 }  // namespace yokestream::dispatch
--- a/src/dispatch/client_sessions.cpp
+++ b/src/dispatch/client_sessions.cpp
@@ -14,29 +14,29 @@
   return it == sessions_.end() ? nullptr : &it->second;
 }
 
-// One that was never served before one that was, then the one idle for longest.
-std::optional<SessionId> ClientSessions::take_victim() {
-  std::optional<SessionId> out;
-  Session* least = nullptr;
+// Prefers a connection that was never served, then the one that has been idle for the longest time.
+std::optional<SessionId> ClientSessions::take_eviction_candidate() {
+  std::optional<SessionId> candidate_id;
+  Session* candidate = nullptr;
   for (auto& [id, session] : sessions_) {
     if (session.open_requests > 0 || session.closing || session.stalled) continue;
-    if (least &&
-        std::pair(session.served, session.last_activity) >= std::pair(least->served, least->last_activity))
+    if (candidate && std::pair(session.served, session.last_activity) >=
+                         std::pair(candidate->served, candidate->last_activity))
       continue;
-    least = &session;
-    out = id;
+    candidate = &session;
+    candidate_id = id;
   }
-  if (least) least->closing = true;
-  return out;
+  if (candidate) candidate->closing = true;
+  return candidate_id;
 }
 
 std::optional<SessionId> ClientSessions::add(Time now, SessionId id, std::uint64_t origin) {
-  const auto out = crowded() ? take_victim() : std::nullopt;
+  const auto evicted = near_session_limit() ? take_eviction_candidate() : std::nullopt;
   Session& session = sessions_[id];
   session.origin = origin;
   session.opened_at = now;
   session.last_activity = now;
-  return out;
+  return evicted;
 }
 
 std::uint64_t ClientSessions::origin(SessionId id) const {
@@ -48,7 +48,7 @@
   const Session* session = find(id);
   if (!session) return false;
   if (session->served) return session->open_requests < limits_.open_requests;
-  const std::size_t max_open = session->suspected_at ? 1 : limits_.open_requests_unproven;
+  const std::size_t max_open = session->suspected_at ? 1 : limits_.open_requests_before_first_result;
   return session->open_requests < max_open;
 }
 
@@ -71,7 +71,7 @@
   if (!session) return false;
   session->answered = true;
   session->last_activity = now;
-  return ++session->responses >= limits_.unserved_responses && !session->served &&
+  return ++session->responses >= limits_.responses_without_result && !session->served &&
          session->open_requests == 0;
 }
 
@@ -92,11 +92,12 @@
 bool ClientSessions::is_suspect(Time now, SessionId id) const {
   const Session* session = find(id);
   return session && session->suspected_at && !session->served &&
-         now - *session->suspected_at < limits_.suspicion;
+         now - *session->suspected_at < limits_.suspect_duration;
 }
 
 bool ClientSessions::any_closing() const {
-  return std::any_of(sessions_.begin(), sessions_.end(), [](const auto& s) { return s.second.closing; });
+  return std::any_of(sessions_.begin(), sessions_.end(),
+                     [](const auto& entry) { return entry.second.closing; });
 }
 
 void ClientSessions::cancel_close(SessionId id) {
@@ -108,32 +109,33 @@
 }
 
 std::vector<SessionId> ClientSessions::take_finished_stalled() {
-  std::vector<SessionId> out;
+  std::vector<SessionId> to_close;
   for (auto& [id, session] : sessions_) {
     if (!session.stalled || session.open_requests > 0 || session.closing) continue;
     session.closing = true;
-    out.push_back(id);
+    to_close.push_back(id);
   }
-  return out;
+  return to_close;
 }
 
 std::vector<SessionId> ClientSessions::take_idle(Time now, std::optional<Duration> min_idle) {
-  std::vector<SessionId> out;
+  std::vector<SessionId> to_close;
   for (auto& [id, session] : sessions_) {
     if (session.open_requests > 0 || session.closing || session.stalled) continue;
     const Duration idle = now - (session.answered ? session.last_activity : session.opened_at);
-    const Duration usual = session.answered ? limits_.idle_timeout : limits_.first_request_timeout;
-    const Duration when_closing_all = session.answered ? min_idle.value_or(usual) : limits_.new_session_grace;
-    const bool over = idle >= (min_idle ? when_closing_all : usual);
-    if (!over) continue;
+    const Duration timeout = session.answered ? limits_.idle_timeout : limits_.first_request_timeout;
+    const Duration timeout_when_closing_all =
+        session.answered ? min_idle.value_or(timeout) : limits_.new_session_grace;
+    const bool expired = idle >= (min_idle ? timeout_when_closing_all : timeout);
+    if (!expired) continue;
     session.closing = true;
-    out.push_back(id);
+    to_close.push_back(id);
   }
-  // Where no connection is accepted any more, add() does not make room.
-  if (crowded()) {
-    if (const auto id = take_victim()) out.push_back(*id);
+  // Also evicts here, because add() is not called while no connection is accepted.
+  if (near_session_limit()) {
+    if (const auto id = take_eviction_candidate()) to_close.push_back(*id);
   }
-  return out;
+  return to_close;
 }
 
 }  // namespace yokestream::dispatch
--- a/src/dispatch/client_sessions.h
+++ b/src/dispatch/client_sessions.h
@@ -1,8 +1,10 @@
-// The client connections: what each has open, and which of them are to be closed.
+// Tracks the client connections and their open requests, and selects the connections to close.
 //
-// Failure: clients connect and ask for nothing, or ask once and keep the connection. Symptom: each holds a
-// descriptor, and usual clients find no capacity. Guard: idle connections are closed.
-// Owns one record a connection, from add() to remove(); sends nothing itself. Pure, one thread.
+// Failure: clients connect and send no request, or send one and keep the connection open.
+// Symptom: each of them holds a descriptor, and other clients cannot connect.
+// Guard: idle connections are closed.
+//
+// Owns one record per connection, from add() to remove(); sends nothing itself. Pure, not thread-safe.
 #pragma once
 
 #include <map>
@@ -16,18 +18,18 @@
 class ClientSessions {
  public:
   struct Limits {
-    std::size_t sessions = 256;              // from three quarters of them on, idle ones are closed
-    std::size_t open_requests = 32;          // of one connection
-    std::size_t open_requests_unproven = 8;  // the same until one of them was served
-    Duration first_request_timeout{};        // a connection without a request is closed after
-    Duration idle_timeout{};                 // one with nothing open is closed after
-    Duration suspicion{};                    // how long a client stays suspect
-    std::size_t unserved_responses = 64;     // to a client that was never served
-    Duration new_session_grace{};            // closing all: one that is new may take so long to ask
+    std::size_t sessions = 256;      // idle connections are closed from three quarters of this on
+    std::size_t open_requests = 32;  // per connection that was served
+    std::size_t open_requests_before_first_result = 8;  // per connection that was not served yet
+    Duration first_request_timeout{};                   // closes a connection that has sent no request
+    Duration idle_timeout{};                            // closes a connection that has no open request
+    Duration suspect_duration{};                        // how long a client stays suspect
+    std::size_t responses_without_result = 64;          // closes a connection that was never served
+    Duration new_session_grace{};  // when all idle connections are closed: time for the first request
   };
   explicit ClientSessions(Limits limits) : limits_(limits) {}
 
-  // Returns the connection that is to be closed to make room for the new one, if one is.
+  // Returns the idle connection to close to make room for the new one, if any.
   std::optional<SessionId> add(Time now, SessionId id, std::uint64_t origin = 0);
   void remove(SessionId id) { sessions_.erase(id); }
   std::uint64_t origin(SessionId id) const;  // the client's address as a number; 0: unknown
@@ -35,25 +37,29 @@
   bool may_open_request(SessionId id) const;
   void on_request_opened(Time now, SessionId id);
   void on_request_closed(Time now, SessionId id);
-  // True: the client floods, as it was answered so often and never served, and is to be closed; not while
-  // anything is open on it, which is owed an answer.
+  // Returns true if the connection is to be closed because the client floods: it received
+  // `responses_without_result` responses and no result. False while a request is open, as its response is
+  // still due.
   bool on_response_sent(Time now, SessionId id);
   void on_result_sent(Time now, SessionId id);
   bool was_served(SessionId id) const;  // at least once
 
-  // An engine could not run a request of it. A client that was never served is suspect for a while.
+  // Reports that an engine could not run a request of this client. A client that was never served is suspect
+  // for Limits::suspect_duration.
   void mark_suspect(Time now, SessionId id);
   bool is_suspect(Time now, SessionId id) const;
 
-  // Nothing more is read of it: it is closed once nothing is open on it.
+  // Reports that nothing more is read from the connection. It is closed once it has no open request.
   void mark_stalled(SessionId id);
-  // The stalled ones on which nothing is open any more; each is returned once.
+  // Returns the stalled connections that have no open request left, each once.
   std::vector<SessionId> take_finished_stalled();
-  // Those to be closed as they have nothing open: for too long, or, oldest first, as connections run short;
-  // with `min_idle`, each that is not new and was idle for so long. Each is returned once.
+  // Returns the connections to close because they have no open request, each once: those that exceeded their
+  // timeout and, when the number of connections nears its limit, the best candidate for eviction. With
+  // `min_idle`, all that were idle for that long, except connections within `new_session_grace`.
   std::vector<SessionId> take_idle(Time now, std::optional<Duration> min_idle);
-  void cancel_close(SessionId id);  // one that was returned could not be closed: something has come from it
-  bool any_closing() const;         // whether one that was returned is still there
+  // Keeps a connection that was returned for closing, because it has received something in the meantime.
+  void cancel_close(SessionId id);
+  bool any_closing() const;  // whether a connection that was returned for closing is still open
   bool empty() const { return sessions_.empty(); }
 
  private:
@@ -69,8 +75,8 @@
     bool stalled = false;
     std::optional<Time> suspected_at;
   };
-  bool crowded() const { return sessions_.size() >= limits_.sessions * 3 / 4; }
-  std::optional<SessionId> take_victim();
+  bool near_session_limit() const { return sessions_.size() >= limits_.sessions * 3 / 4; }
+  std::optional<SessionId> take_eviction_candidate();
   Session* find(SessionId id);
   const Session* find(SessionId id) const;
 
--- a/src/dispatch/dispatch_clock.h
+++ b/src/dispatch/dispatch_clock.h
@@ -1,5 +1,5 @@
-// The time of the event that is being handled. Owned by the Dispatcher, which alone advances it; its
-// components read it. One thread.
+// The time of the event that is being handled. Owned and advanced by the Dispatcher; its components only read
+// it. Not thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
  public:
   explicit DispatchClock(Time now) : now_(now) {}
   Time now() const { return now_; }
-  void advance_to(Time now) { now_ = std::max(now_, now); }  // never runs backwards
+  void advance_to(Time now) { now_ = std::max(now_, now); }  // monotonic: an earlier time is ignored
 
  private:
   Time now_;
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -11,21 +11,25 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kMaintenanceInterval = milliseconds(200);
-constexpr Duration kConnectionCheckAfter = milliseconds(500);  // one in use that is silent is pinged
-// A client must be answered within 3 s, though it asks for nothing. Usual ones close after 4 s without a
-// request; one that keeps the connection longer holds it for no reason.
+// A connection with requests in flight that receives nothing for this long is pinged.
+constexpr Duration kPingAfterSilence = milliseconds(500);
+// A client that sends no request must see a reaction within 3 s, so its connection is closed before that.
+// Typical clients close their connection after 4 s without a request; one that keeps it longer only occupies
+// it.
 constexpr Duration kFirstRequestTimeout = milliseconds(2200);
 constexpr Duration kSessionIdleTimeout = milliseconds(6000);
-constexpr Duration kNewSessionGrace = milliseconds(300);  // its first request is on the way
+constexpr Duration kNewSessionGrace = milliseconds(300);  // its first request may be in transit
 constexpr std::size_t kMaxOpenRequestsPerSession = 32;
-constexpr Duration kSuspicionDuration = milliseconds(1000);  // of a client whose request no engine could run
+// How long a client stays suspect after an engine could not run its request.
+constexpr Duration kSuspectDuration = milliseconds(1000);
 
 EngineConnections::Limits connection_limits(const config::Config& config) {
   EngineConnections::Limits limits;
   limits.streams_per_connection = config.real.streams_per_connection;
   limits.connections = config.limits.links();
-  limits.idle_timeout = config.real.idle_close / 2;  // well before the engine closes it under a request
-  limits.check_after = kConnectionCheckAfter;
+  // Well before the engine closes the connection, which could cut off a request that was just sent.
+  limits.idle_timeout = config.real.idle_close / 2;
+  limits.check_after = kPingAfterSilence;
   return limits;
 }
 
@@ -36,11 +40,11 @@
   limits.first_request_timeout = kFirstRequestTimeout;
   limits.new_session_grace = kNewSessionGrace;
   limits.idle_timeout = kSessionIdleTimeout;
-  limits.suspicion = kSuspicionDuration;
+  limits.suspect_duration = kSuspectDuration;
   return limits;
 }
 
-// Quotas are kept in one place: where a stage keeps them the decision module has none.
+// Quotas are enforced in one place only: if an admission stage enforces them, the decision module gets none.
 policy::Settings policy_settings(const config::Config& config) {
   policy::Settings settings = config.settings;
   if (config.door.on || config.queues.on) {
@@ -51,13 +55,14 @@
 
 }  // namespace
 
-Dispatcher::Dispatcher(const config::Config& config, Time now, EngineDirectory::FromUnix from_unix,
-                       Budget& budget, ClientPort& clients, EnginePort& engines, Log& log,
-                       std::optional<snapshot::RestoredState> inherited)
+Dispatcher::Dispatcher(const config::Config& config, Time now,
+                       EngineDirectory::SteadyFromUnix steady_from_unix, Budget& budget, ClientPort& clients,
+                       EnginePort& engines, Log& log,
+                       std::optional<snapshot::RestoredState> predecessor_state)
     : config_(config),
       log_(log),
       clock_(now),
-      directory_(config.real, std::move(from_unix)),
+      directory_(config.real, std::move(steady_from_unix)),
       connections_(connection_limits(config), engines),
       sessions_(session_limits(config)),
       routes_(config),
@@ -74,8 +79,8 @@
                   policy_events_}),
       controller_(policy_settings(config), config.seed, now),
       manager_count_(config.settings.manager_count) {
-  if (inherited) restore(*inherited);
-  bool cached = true;  // only the first of the known lists is from before this process
+  if (predecessor_state) restore(*predecessor_state);
+  bool cached = true;  // only the first of the known lists was stored before this process started
   for (const auto& event : config.known) apply_engine_list(event, std::exchange(cached, false));
   notify_stages_of_cores();
   timers_.schedule(now + kMaintenanceInterval, MaintenanceTimer{});
@@ -83,20 +88,21 @@
   publish_engine_counts();
 }
 
-void Dispatcher::restore(const snapshot::RestoredState& inherited) {
-  const bool restored = controller_.restore(inherited.state, inherited.age);
-  log_.write(restored ? "took over what another process learnt of " +
-                            std::to_string(inherited.state.engines.size()) + " engines"
-                      : "what another process learnt is not taken over: it makes no sense here");
+void Dispatcher::restore(const snapshot::RestoredState& predecessor_state) {
+  const std::string engine_count = std::to_string(predecessor_state.state.engines.size());
+  if (controller_.restore(predecessor_state.state, predecessor_state.age))
+    log_.write("learned state restored:" + (" engines=" + engine_count) + " source=\"previous process\"");
+  else
+    log_.write("learned state rejected: cause=\"not valid for these settings\"");
 }
 
-void Dispatcher::set_peer_process_count(std::size_t others) {
-  if (std::exchange(peer_processes_, others) != others) set_manager_count(manager_count_);
+void Dispatcher::set_peer_process_count(std::size_t count) {
+  if (std::exchange(peer_process_count_, count) != count) set_manager_count(manager_count_);
 }
 
-void Dispatcher::set_manager_count(double managers) {
-  manager_count_ = managers;
-  controller_.set_manager_count(manager_count_ * static_cast<double>(1 + peer_processes_));
+void Dispatcher::set_manager_count(double count) {
+  manager_count_ = count;
+  controller_.set_manager_count(manager_count_ * static_cast<double>(1 + peer_process_count_));
 }
 
 void Dispatcher::configure(Time now, const door::Settings& settings) {
@@ -109,10 +115,11 @@
   stages_.configure_scheduler(clock_.now(), settings);
 }
 
-void Dispatcher::apply_routes(Time now, const routing::RouteTable& table, Time until) {
+void Dispatcher::apply_routes(Time now, const routing::RouteTable& table, Time lease_expiry) {
   clock_.advance_to(now);
-  routes_.apply(table, until);
-  if (until > clock_.now() && until != Time::max()) timers_.schedule(until, RouteLeaseExpiry{});
+  routes_.apply(table, lease_expiry);
+  if (lease_expiry > clock_.now() && lease_expiry != Time::max())
+    timers_.schedule(lease_expiry, RouteLeaseExpiry{});
   attempts_.enforce_routes();
   run_controller();
   advance_stages();
@@ -144,7 +151,7 @@
   }
 }
 
-// Until no request moves: one that leaves a stage may make room in the stage before.
+// Runs until no request can move: one that leaves a stage may free capacity in the stage before it.
 void Dispatcher::advance_stages() {
   if (!stages_.enabled()) return;
   while (admission_.advance_one()) run_controller();
@@ -154,8 +161,8 @@
 }
 
 void Dispatcher::on(const SessionOpened& opened) {
-  const auto victim = sessions_.add(clock_.now(), opened.session, opened.origin);
-  if (victim) responder_.close_if_idle(*victim);
+  const auto evicted = sessions_.add(clock_.now(), opened.session, opened.origin);
+  if (evicted) responder_.close_if_idle(*evicted);
 }
 
 void Dispatcher::on(const RequestCancelled& cancelled) {
@@ -165,7 +172,8 @@
 
 void Dispatcher::on(const SessionClosed& closed) {
   const std::vector<QueryId> open = requests_.open_calls_of(closed.session);
-  // A client that did not leave of its own will loses its open requests: the log has the cause.
+  // The client may not have closed the connection itself, so the loss of open requests is logged with the
+  // cause.
   if (!open.empty())
     log_.write("client connection closed: open_requests=" + std::to_string(open.size()) + " cause=\"" +
                closed.cause + "\"");
@@ -185,26 +193,26 @@
   attempts_.withdraw_from_unavailable();
 }
 
-// The decision module gets the list with the slots by which engine sets name engines.
+// Passes the list to the decision module, with the slots that identify engines in engine sets.
 void Dispatcher::apply_engine_list(const config::MembersEvent& event, bool cached) {
   policy::EngineList list = directory_.apply(clock_.now(), event, cached);
   routes_.assign_slots(event, list);
   policy_events_.push(std::move(list));
 }
 
-// This manager's part of the engines: the other managers are assumed to be equal.
+// Sets this manager's share of the cores, assuming that all managers have equal shares.
 void Dispatcher::notify_stages_of_cores() {
   if (!stages_.enabled()) return;
   const double cores = directory_.cores_up(config_.settings.kinds);
   stages_.set_cores(clock_.now(), cores / config_.settings.manager_count);
 }
 
-// Failure: something above lost a request. Symptom: its client waits for ever. Guard: this is the last moment
-// at which every request is answered.
+// Failure: a defect elsewhere in the dispatcher loses a request. Symptom: its client waits forever. Guard: a
+// request that is still unanswered shortly after its deadline fails here.
 void Dispatcher::on(const DeadlineWatchdog& watchdog) {
-  log_.write("request failed by its deadline watchdog: cause=\"nothing else answered it\"");
+  log_.write("request failed by deadline watchdog: cause=\"still unanswered after its deadline\"");
   Request& request = requests_.at(watchdog.query);
-  request.watchdog = timers_.none();
+  request.watchdog_timer = timers_.none();
   responder_.fail(request.received, "Late");
   responder_.abandon(watchdog.query);
 }
@@ -229,7 +237,7 @@
   timers_.schedule(clock_.now() + timer.delay, PolicyTimer{timer.token});
 }
 
-// Engines are not probed here; a decision module that asks for it is notified so.
+// Engines are not probed here, so each probe is reported as unreachable.
 void Dispatcher::act(const policy::Probe& probe) {
   policy_events_.push(policy::ProbeEnded{probe.engine, policy::Outcome::unreachable, {}, {}});
 }
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -1,10 +1,10 @@
-// The core of the manager: every request that was accepted, every attempt in flight, and the decision module
-// that decides on them. Events in, actions out through the ports.
+// The core of the manager: all accepted requests, all attempts in flight, and the decision module that
+// decides about them. It receives events and acts through the ports.
 //
-// Composes the types below, each of which owns its state and says so in its header; it owns the order in
-// which they run: an event or a timer, then the decision module until it has nothing more to handle, then the
-// admission stages. It knows no protocol, no socket and no clock of its own. One thread owns it; only
-// metrics() may be read by others.
+// It is composed of the classes below, each of which documents the state that it owns. The dispatcher
+// determines the order in which they run: an event or a timer, then the decision module until its event queue
+// is empty, then the admission stages. It is independent of protocols and sockets, and has no clock of its
+// own. Not thread-safe, except that any thread may read metrics().
 #pragma once
 
 #include <optional>
@@ -34,54 +34,54 @@
 
 class Dispatcher {
  public:
-  // All references must outlive the dispatcher. `inherited`: what a process that this one succeeds has
-  // learned.
-  Dispatcher(const config::Config& config, Time now, EngineDirectory::FromUnix from_unix, Budget& budget,
-             ClientPort& clients, EnginePort& engines, Log& log,
-             std::optional<snapshot::RestoredState> inherited = std::nullopt);
+  // All references must outlive the dispatcher. `predecessor_state`: the learned state of the process that
+  // this one replaces.
+  Dispatcher(const config::Config& config, Time now, EngineDirectory::SteadyFromUnix steady_from_unix,
+             Budget& budget, ClientPort& clients, EnginePort& engines, Log& log,
+             std::optional<snapshot::RestoredState> predecessor_state = std::nullopt);
   Dispatcher(const Dispatcher&) = delete;
   Dispatcher& operator=(const Dispatcher&) = delete;
 
-  // Applies what a reload may change of the throttle (weights, times and hints) and the scheduler (teams
-  // too).
+  // Applies the settings that a reload may change: weights, times and hints of the throttle; the same and
+  // the teams of the scheduler.
   void configure(Time now, const door::Settings& settings);
   void configure(Time now, const queues::Settings& settings);
-  // What operators see of the stages; nullopt or nullptr: the stage is off.
+  // For the operators; nullopt or nullptr if the stage is disabled.
   std::optional<door::Figures> throttle_metrics() const { return stages_.throttle_metrics(); }
   std::optional<queues::Figures> scheduler_metrics() const { return stages_.scheduler_metrics(); }
   const queues::Queues* scheduler() const { return stages_.scheduler(); }
 
   void handle(Time now, Event event);
   void tick(Time now);                                  // fires the timers that are due
-  Time next_due() const { return timers_.next_due(); }  // when tick() has something to do
+  Time next_due() const { return timers_.next_due(); }  // when the next timer is due
 
-  // What the decision module has learned, for a process that succeeds this one.
+  // The learned state of the decision module, for the process that replaces this one.
   policy::LearnedState learned_state() const { return controller_.learned_state(); }
-  // `others` processes of this manager serve as well, each with its part of the load.
-  void set_peer_process_count(std::size_t others);
-  // 1 or more: this manager's part of the load is one over them.
-  void set_manager_count(double managers);
+  // Sets the number of other processes of this manager that serve a share of its load.
+  void set_peer_process_count(std::size_t count);
+  // Sets the number of managers, 1 or more; this manager's share of the load is 1 / `count`.
+  void set_manager_count(double count);
 
-  // Installs a routing table. Attempts in areas that it touches leave before `until` or never (S4), whatever
-  // holds them back. What is queued goes by it at once; nothing is sent by the earlier one.
-  void apply_routes(Time now, const routing::RouteTable& table, Time until);
-  // Whether nothing is in flight any more that the present table would not let out (S6): only then may it be
-  // reported as applied.
+  // Installs a routing table. Attempts in areas of the table are written before `lease_expiry` or not at all,
+  // whatever delays them. Queued requests use the new table immediately; nothing more is sent by the old one.
+  void apply_routes(Time now, const routing::RouteTable& table, Time lease_expiry);
+  // Returns true if the current table allows every attempt in flight. Only then may the table be reported as
+  // applied.
   bool conforms_to_routes() const { return attempts_.conforms_to_routes(); }
   std::int64_t routes_epoch() const { return routes_.epoch(); }
   const routing::OutcomeTallies& outcome_tallies() const { return routes_.outcome_tallies(); }
 
   std::size_t open_requests() const { return requests_.open_call_count(); }
   const ServiceLifecycle& lifecycle() const { return service_.lifecycle(); }
-  figures::Figures& metrics() { return metrics_; }  // any thread may read them, while this lives
-  // Shutting down, and nothing is owed or to be expected any more. Clients go on asking on open connections,
-  // so these are closed first, each when nothing is open on it.
+  figures::Figures& metrics() { return metrics_; }  // any thread may read them during the dispatcher's life
+  // Returns true if the shutdown is finished: no request is open and no more can arrive. Clients keep sending
+  // requests on open connections, so all connections must be closed first, each when it has no open request.
   bool shutdown_complete(Time now) const {
     return lifecycle().may_exit(now) && open_requests() == 0 && sessions_.empty();
   }
 
  private:
-  // Events.
+  // Events
   void on(const SessionOpened& opened);
   void on(RequestReceived request) { admission_.handle(std::move(request)); }
   void on(const BadRequest& bad) { responder_.fail(bad); }
@@ -98,7 +98,7 @@
   void on(const StartDraining& drain) { service_.handle(drain); }
   void on(const Resume& resume) { service_.handle(resume); }
 
-  // Timers.
+  // Timers
   void on(const PolicyTimer& timer) { policy_events_.push(policy::TimerFired{timer.token}); }
   void on(const ResponseDeadline& deadline) { attempts_.handle(deadline); }
   void on(const DeadlineWatchdog& watchdog);
@@ -110,7 +110,7 @@
   void on(const ShutdownDeadline& deadline) { service_.handle(deadline); }
   void on(const RouteLeaseExpiry&);
 
-  // Actions of the decision module.
+  // Actions of the decision module
   void act(const policy::Send& send) { attempts_.handle(send); }
   void act(const policy::Cancel& cancel) { attempts_.handle(cancel); }
   void act(const policy::Reject& rejection) { responder_.handle(rejection); }
@@ -118,11 +118,11 @@
   void act(const policy::SetExecutionTerms& terms) { attempts_.handle(terms); }
   void act(const policy::StartTimer& timer);
   void act(const policy::Probe& probe);
-  void act(const policy::BroadcastToPeers&) {}  // none of its peers is asked here
-  void act(const policy::WatchEngineList&) {}   // the engine list is watched all the time
+  void act(const policy::BroadcastToPeers&) {}  // managers exchange no messages here
+  void act(const policy::WatchEngineList&) {}   // the engine list is always watched
   void act(const policy::FetchEngineList&) {}
 
-  void restore(const snapshot::RestoredState& inherited);
+  void restore(const snapshot::RestoredState& predecessor_state);
   void apply_engine_list(const config::MembersEvent& event, bool cached);
   void run_controller();
   void advance_stages();
@@ -147,9 +147,9 @@
   AttemptTracker attempts_;
   ResponseHandler responses_;
   policy::AdmissionController controller_;
-  std::vector<policy::Action> actions_;  // of the event that the decision module handled last
-  std::size_t peer_processes_ = 0;
-  double manager_count_;  // as notified, else by the settings
+  std::vector<policy::Action> actions_;  // for the event that the decision module handled last
+  std::size_t peer_process_count_ = 0;
+  double manager_count_;  // from the settings until set_manager_count() is called
 };
 
 }  // namespace yokestream::dispatch
--- a/src/dispatch/engine_connections.cpp
+++ b/src/dispatch/engine_connections.cpp
@@ -8,23 +8,25 @@
 
 constexpr std::string_view kPingTag = "alive";
 
-// An idle connection comes first, one that is up before one that is connecting.
+// Orders connections by preference, lowest first: the fewest requests in flight, then up before connecting.
 std::tuple<std::size_t, bool> rank(const EngineConnection& connection) {
   return {connection.in_flight.size(), !connection.up};
 }
 
 }  // namespace
 
-// Failure: a corrupt response or a reset ends all that runs on its connection. Symptom: many requests fail at
-// once. Guard: an attempt gets a connection of its own while there are some, then shares the least used one.
-// Failure: engines know requests by the client's id, so a connection that has carried this request before
-// could bring the earlier attempt's response. Symptom: it is taken for the new one's. Guard: `excluded`.
+// Failure: a corrupt response or a reset ends all attempts on the connection. Symptom: many requests fail at
+// once. Guard: an attempt gets its own connection while the limit allows it, then shares the least used one.
+//
+// Failure: engines identify requests by the client's id, so a connection that was used for an earlier attempt
+// of the request could deliver that attempt's response. Symptom: the response is taken for the new attempt's.
+// Guard: such connections are passed in `excluded`.
 std::optional<EngineConnectionId> EngineConnections::acquire(Time now, const std::string& uid,
                                                              const EngineRecord& engine,
                                                              const std::vector<EngineConnectionId>& excluded,
                                                              Time connect_deadline) {
-  std::optional<EngineConnectionId> best;
-  const EngineConnection* least = nullptr;
+  std::optional<EngineConnectionId> least_used_id;
+  const EngineConnection* least_used = nullptr;
   for (const auto& [id, connection] : connections_) {
     if (connection.uid != uid || connection.endpoint != engine.endpoint ||
         connection.boot_ms != engine.boot_ms)
@@ -32,12 +34,12 @@
     if (connection.in_flight.size() >= limits_.streams_per_connection || connection.unanswered_checks > 0)
       continue;
     if (std::find(excluded.begin(), excluded.end(), id) != excluded.end()) continue;
-    if (least && rank(connection) >= rank(*least)) continue;
-    least = &connection;
-    best = id;
+    if (least_used && rank(connection) >= rank(*least_used)) continue;
+    least_used = &connection;
+    least_used_id = id;
   }
-  if (least && least->in_flight.empty()) return best;
-  if (connections_.size() >= limits_.connections && !close_one_idle()) return best;
+  if (least_used && least_used->in_flight.empty()) return least_used_id;
+  if (connections_.size() >= limits_.connections && !close_one_idle()) return least_used_id;
   const EngineConnectionId id{++last_id_};
   connections_.emplace(id, EngineConnection{uid, engine.endpoint, engine.boot_ms, false, {}, now, 0});
   engines_.connect(id, engine.endpoint, connect_deadline);
@@ -73,9 +75,10 @@
   if (connection->in_flight.empty()) connection->last_activity = now;
 }
 
-// Failure: a connection stays open and is of no further use, as a response stopped short or a machine was cut
-// off. Symptom: attempts on it run into their timeouts. Guard: it is pinged, as progress comes seconds apart.
-// Checks are counted, not time: a core that stood still has not handled what came meanwhile.
+// Failure: a connection stays open but is dead, because a response was cut short or the engine's machine was
+// disconnected. Symptom: attempts on it run into their timeouts. Guard: a silent connection is pinged,
+// because progress reports are seconds apart. Checks are counted instead of time: after a pause of this
+// process, data that arrived in the meantime is not handled yet.
 std::vector<EngineConnectionId> EngineConnections::check(Time now, const EngineDirectory& directory) {
   std::vector<EngineConnectionId> dead;
   for (auto it = connections_.begin(); it != connections_.end();) {
--- a/src/dispatch/engine_connections.h
+++ b/src/dispatch/engine_connections.h
@@ -1,7 +1,7 @@
-// The connections to engines: which of them an attempt may use, and when one is closed.
+// Tracks the connections to engines: which of them an attempt may use, and when one is closed.
 //
-// Owns one record a connection; the EnginePort owns the sockets. One thread. Memory: Limits::connections
-// records at most.
+// Owns one record per connection; the EnginePort owns the sockets. Not thread-safe. Memory: at most
+// Limits::connections records.
 #pragma once
 
 #include <map>
@@ -17,35 +17,35 @@
 struct EngineConnection {
   std::string uid;  // of the engine
   config::Endpoint endpoint;
-  std::int64_t boot_ms = 0;                          // of the engine, as listed
-  bool up = false;                                   // false: still connecting
-  std::map<std::string, policy::QueryId> in_flight;  // by the request's id
-  Time last_activity{};                              // its last byte, or when it began to carry something
-  int unanswered_checks = 0;                         // since it was pinged
+  std::int64_t boot_ms = 0;                          // of the engine, from the engine list
+  bool up = false;                                   // false while connecting
+  std::map<std::string, policy::QueryId> in_flight;  // by request id
+  Time last_activity{};       // last byte received, or when the connection last became used or idle
+  int unanswered_checks = 0;  // checks since the ping was sent
 };
 
 class EngineConnections {
  public:
   struct Limits {
     std::size_t streams_per_connection = 1;
-    std::size_t connections = 300;  // over all engines
-    Duration idle_timeout{};        // 0: never closed for being idle
-    Duration check_after{};         // one in use that is silent for so long is pinged
-    int max_unanswered_checks = 4;  // after the ping: it is dead
+    std::size_t connections = 300;  // to all engines together
+    Duration idle_timeout{};        // 0: idle connections are kept
+    Duration check_after{};         // pings a connection with requests in flight after this long a silence
+    int max_unanswered_checks = 4;  // after the ping; with more the connection is considered dead
   };
   EngineConnections(Limits limits, EnginePort& engines) : limits_(limits), engines_(engines) {}
 
-  // A connection to this engine as it is listed now, opened if need be; none of `excluded`, which this
-  // request has used before. nullopt: no more can be opened.
+  // Returns a connection to the engine as it is listed now, and opens one if needed. Connections in
+  // `excluded`, which the same request has used before, are not returned. nullopt if the limit is reached.
   std::optional<EngineConnectionId> acquire(Time now, const std::string& uid, const EngineRecord& engine,
                                             const std::vector<EngineConnectionId>& excluded,
                                             Time connect_deadline);
-  EngineConnection* find(EngineConnectionId id);  // nullptr: it is closed
+  EngineConnection* find(EngineConnectionId id);  // nullptr if the connection is closed
   void add_request(Time now, EngineConnectionId id, const std::string& request_id, policy::QueryId query);
   void remove_request(Time now, EngineConnectionId id, const std::string& request_id);
-  void erase(EngineConnectionId id) { connections_.erase(id); }  // the record only
-  // Closes connections that are idle for too long, and idle ones to what an engine no longer is. Returns
-  // those in use that are dead; the caller closes them.
+  void erase(EngineConnectionId id) { connections_.erase(id); }  // removes the record, closes no socket
+  // Closes idle connections that exceeded the timeout, or whose engine is unavailable or was replaced.
+  // Returns the dead connections with requests in flight, which the caller closes.
   std::vector<EngineConnectionId> check(Time now, const EngineDirectory& directory);
 
  private:
--- a/src/dispatch/engine_directory.cpp
+++ b/src/dispatch/engine_directory.cpp
@@ -8,7 +8,7 @@
 
 constexpr Duration kForgetGoneAfter = std::chrono::seconds(60);
 
-// An unknown name gets a position past the end, for which the decision module has no settings.
+// An unknown name is mapped to the position past the end, for which the decision module has no settings.
 template <class Id>
 Id position(const std::vector<std::string>& names, const std::string& name) {
   return Id{static_cast<std::uint32_t>(std::find(names.begin(), names.end(), name) - names.begin())};
@@ -16,8 +16,9 @@
 
 }  // namespace
 
-// Failure: new engines replace old ones under new names for good. Symptom: memory grows. Guard: those gone
-// for long are forgotten; one that comes back soon is still known, and its start maps to the same time.
+// Failure: engines are continuously replaced by engines with new names. Symptom: memory grows without bound.
+// Guard: an engine is removed after it has been gone for kForgetGoneAfter. An engine that returns earlier is
+// still known, and its start is converted to the same time.
 void EngineDirectory::forget_gone(Time now) {
   std::erase_if(engines_, [&](const auto& known) {
     const auto& [uid, record] = known;
@@ -38,7 +39,7 @@
   return cores;
 }
 
-void EngineDirectory::note_gone(EngineRecord& record, Time now) {
+void EngineDirectory::update_gone_since(EngineRecord& record, Time now) {
   if (record.state != policy::EngineState::gone)
     record.gone_since.reset();
   else if (!record.gone_since)
@@ -51,20 +52,21 @@
               : event.whole ? policy::EngineListKind::full
                             : policy::EngineListKind::delta;
   if (event.whole) {
-    std::set<std::string> named;
-    for (const auto& member : event.members) named.insert(member.uid);
+    std::set<std::string> listed;
+    for (const auto& member : event.members) listed.insert(member.uid);
     for (auto& [uid, record] : engines_) {
-      if (!named.count(uid)) record.state = policy::EngineState::gone;
-      note_gone(record, now);
+      if (!listed.count(uid)) record.state = policy::EngineState::gone;
+      update_gone_since(record, now);
     }
   }
   for (const auto& member : event.members) {
     EngineRecord& record = engines_[member.uid];
     record.state = member.state;
-    note_gone(record, now);
+    update_gone_since(record, now);
     record.boot_ms = member.boot_ms;
     if (member.endpoint) record.endpoint = *member.endpoint;
-    if (member.endpoint && member.state == policy::EngineState::up) claim_endpoint(*member.endpoint, member);
+    if (member.endpoint && member.state == policy::EngineState::up)
+      update_endpoint_owner(*member.endpoint, member);
     policy::EngineEntry entry;
     entry.engine.name = member.uid;
     entry.zone = position<policy::ZoneId>(names_.zones, member.zone);
@@ -73,22 +75,23 @@
     entry.cell = policy::CellId{member.cell};
     entry.state = member.state;
     entry.weight = member.weight;
-    const bool news = !cached && !event.whole;
-    if (member.boot_ms > 0) entry.start_time = start_times_.start_time(now, member.uid, member.boot_ms, news);
+    const bool is_change = !cached && !event.whole;
+    if (member.boot_ms > 0)
+      entry.start_time = start_times_.start_time(now, member.uid, member.boot_ms, is_change);
     list.entries.push_back(std::move(entry));
   }
   return list;
 }
 
-// Failure: a new engine gets the address of one that has gone, listed before or after the end of the old one.
-// Symptom: the new engine receives what is meant for the old one. Guard: an address belongs to the engine
-// that started last.
-void EngineDirectory::claim_endpoint(const config::Endpoint& endpoint, const config::Member& member) {
+// Failure: a new engine gets the address of an engine that has gone, and is listed before or after the
+// removal of the old one. Symptom: the new engine receives requests for the old one. Guard: an address
+// belongs to the engine that started last.
+void EngineDirectory::update_endpoint_owner(const config::Endpoint& endpoint, const config::Member& member) {
   auto& owner = uid_of_endpoint_[endpoint];
-  const auto holder = engines_.find(owner);
-  const bool held = holder != engines_.end() && holder->second.state == policy::EngineState::up &&
-                    holder->second.endpoint == endpoint;
-  if (!held || holder->second.boot_ms <= member.boot_ms) owner = member.uid;
+  const auto current = engines_.find(owner);
+  const bool in_use = current != engines_.end() && current->second.state == policy::EngineState::up &&
+                      current->second.endpoint == endpoint;
+  if (!in_use || current->second.boot_ms <= member.boot_ms) owner = member.uid;
 }
 
 std::size_t EngineDirectory::listed_count() const {
--- a/src/dispatch/engine_directory.h
+++ b/src/dispatch/engine_directory.h
@@ -1,6 +1,6 @@
-// The engines that the engine list has named, and the address of each.
+// The engines named by the engine list, and the address of each.
 //
-// Owns one record an engine, until 60 s after it is gone. One thread.
+// Owns one record per engine, which is removed 60 s after the engine has gone. Not thread-safe.
 #pragma once
 
 #include <functional>
@@ -25,31 +25,31 @@
 
 class EngineDirectory {
  public:
-  using FromUnix = EngineStartTimes::FromUnix;
-  EngineDirectory(const config::RealSettings& names, FromUnix from_unix)
-      : names_(names), start_times_(std::move(from_unix)) {}
+  using SteadyFromUnix = EngineStartTimes::SteadyFromUnix;
+  EngineDirectory(const config::RealSettings& names, SteadyFromUnix steady_from_unix)
+      : names_(names), start_times_(std::move(steady_from_unix)) {}
 
-  // Applies a watch event and returns it for the decision module. `cached`: the list is from before this
-  // process watched it.
+  // Applies an event of the engine list and returns it in the form of the decision module. `cached`: the list
+  // was stored before this process started.
   policy::EngineList apply(Time now, const config::MembersEvent& event, bool cached);
-  // Forgets engines that have been gone for long.
+  // Removes engines that have been gone for 60 s.
   void forget_gone(Time now);
-  // Of all engines that are up; one of an unknown kind counts as 0.
+  // The cores of all engines that are up. An engine of an unknown kind counts as 0.
   double cores_up(const std::vector<policy::KindSettings>& kinds) const;
   std::size_t known_count() const { return engines_.size(); }
   std::size_t listed_count() const;  // up or draining
 
   bool has(const std::string& uid) const { return engines_.count(uid) > 0; }
-  // nullptr: nothing may be sent there, as it is not up or its address has gone to another.
+  // Returns nullptr if nothing may be sent to the engine: it is not up, or another engine has its address.
   const EngineRecord* find_available(const std::string& uid) const;
 
  private:
-  void note_gone(EngineRecord& record, Time now);
-  void claim_endpoint(const config::Endpoint& endpoint, const config::Member& member);
+  void update_gone_since(EngineRecord& record, Time now);
+  void update_endpoint_owner(const config::Endpoint& endpoint, const config::Member& member);
 
   const config::RealSettings& names_;
   std::map<std::string, EngineRecord> engines_;
-  std::map<config::Endpoint, std::string> uid_of_endpoint_;  // the engine that an address belongs to
+  std::map<config::Endpoint, std::string> uid_of_endpoint_;  // the engine that owns the address
   EngineStartTimes start_times_;
 };
 
--- a/src/dispatch/engine_start_times.cpp
+++ b/src/dispatch/engine_start_times.cpp
@@ -5,19 +5,19 @@
 namespace yokestream::dispatch {
 namespace {
 
-// The list has a start within some seconds, and an outage of the list lasts some more.
-constexpr Duration kMaxNewsAge = std::chrono::seconds(12);
+// The engine list reports a start within a few seconds; an outage of the list adds a few more.
+constexpr Duration kMaxReportedChangeAge = std::chrono::seconds(12);
 
 }  // namespace
 
-EngineStartTimes::EngineStartTimes(FromUnix from_unix)
-    : from_unix_(std::move(from_unix)), latest_epoch_(from_unix_(0)) {}
+EngineStartTimes::EngineStartTimes(SteadyFromUnix steady_from_unix)
+    : steady_from_unix_(std::move(steady_from_unix)), latest_unix_epoch_(steady_from_unix_(0)) {}
 
 Time EngineStartTimes::estimate(Time now, std::int64_t boot_ms, bool is_change) {
-  latest_epoch_ = std::max(latest_epoch_, from_unix_(0));
-  const Time start = latest_epoch_ + std::chrono::milliseconds(boot_ms);
+  latest_unix_epoch_ = std::max(latest_unix_epoch_, steady_from_unix_(0));
+  const Time start = latest_unix_epoch_ + std::chrono::milliseconds(boot_ms);
   if (start > now) return now;
-  return is_change && now - start > kMaxNewsAge ? now : start;
+  return is_change && now - start > kMaxReportedChangeAge ? now : start;
 }
 
 Time EngineStartTimes::start_time(Time now, const std::string& uid, std::int64_t boot_ms, bool is_change) {
--- a/src/dispatch/policy_event_queue.h
+++ b/src/dispatch/policy_event_queue.h
@@ -1,5 +1,5 @@
-// Events that the decision module is yet to handle, in the order in which they came about. The module handles
-// one at a time; what its own actions cause is appended and handled afterwards. Owns the events. One thread.
+// FIFO queue of events for the decision module. The module handles one event at a time; events that its own
+// actions cause are appended and handled afterwards. Owns the events. Not thread-safe.
 #pragma once
 
 #include <deque>
@@ -13,12 +13,13 @@
 
 class PolicyEventQueue {
  public:
-  // Built in its place: a move of a temporary variant makes g++ warn of alternatives that it does not hold.
+  // Constructs the event in place: moving a temporary variant makes g++ warn about alternatives that the
+  // variant does not hold.
   template <class E>
   void push(E event) {
     events_.emplace_back(std::in_place_type<E>, std::move(event));
   }
-  // The oldest event, removed; nullopt: none is left.
+  // Removes and returns the oldest event; nullopt if the queue is empty.
   std::optional<policy::Event> pop() {
     if (events_.empty()) return std::nullopt;
     std::optional<policy::Event> event(std::move(events_.front()));
--- a/src/dispatch/ports.h
+++ b/src/dispatch/ports.h
@@ -1,6 +1,6 @@
-// The events that the dispatcher handles and the ports through which it acts. No protocol and no socket shows
-// here: a second client protocol needs only a driver of its own that raises the same events. The thread that
-// owns the dispatcher calls the ports.
+// The events that the dispatcher handles and the ports through which it acts. Both are independent of
+// protocols and sockets: a second client protocol needs only its own driver that raises the same events. The
+// ports are called on the dispatcher's thread.
 #pragma once
 
 #include <cstdint>
@@ -22,13 +22,14 @@
 
 enum class SessionId : std::uint64_t {};           // one client connection
 enum class EngineConnectionId : std::uint64_t {};  // one connection to an engine
-using CallId = std::uint64_t;                      // a request on its session, as the client numbers it
-using AttemptTag = std::uint64_t;                  // one attempt's request on a connection
+using CallId = std::uint64_t;                      // a request on its session, numbered by the client
+using AttemptTag = std::uint64_t;                  // one attempt, unique in this process
 
-// The ping tag with which an engine confirms that it has read an attempt's cancel.
+// The tag of the ping that follows an attempt's cancel. The engine's pong confirms that it has read the
+// cancel.
 inline std::string cancel_confirmation_tag(AttemptTag tag) { return "stop-" + std::to_string(tag); }
 
-// ---------------------------------------------------------------- events
+// Events
 
 struct RequestReceived {
   SessionId session{};
@@ -38,12 +39,12 @@
   policy::TenantId tenant{};
   policy::TableGroupId table_group{};
   double memory_mb = 0;
-  std::optional<Duration> work;
-  Time deadline{};  // from the time when its last byte came
+  std::optional<Duration> work;  // the client's estimate
+  Time deadline{};               // counted from the arrival of the request's last byte
   bool is_retry = false;
   std::string statement;
 };
-struct BadRequest {  // well formed, but not one that can be served
+struct BadRequest {  // a well-formed message that is not a valid request
   SessionId session{};
   CallId call = 0;
   std::string problem;
@@ -56,27 +57,27 @@
   SessionId session{};
   CallId call = 0;
 };
-struct QuoteRequested {  // asks how long this request would wait; it is not served
+struct QuoteRequested {  // asks how long this request would wait; the request itself is not run
   RequestReceived request;
 };
-struct SessionOpened {  // before anything else of it
+struct SessionOpened {  // precedes all other events of the session
   SessionId session{};
-  std::uint64_t origin = 0;  // the address that it comes from, as a number
+  std::uint64_t origin = 0;  // the client's address as a number
 };
 struct SessionClosed {
   SessionId session{};
-  const char* cause = "closed by its client";  // a static text
+  const char* cause = "closed by its client";  // a string literal
 };
-struct SessionStalled {  // nothing more is read of it; it is closed once it has its answers
+struct SessionStalled {  // no longer read from; closed once its open requests are answered
   SessionId session{};
 };
 struct EngineConnected {
   EngineConnectionId connection{};
 };
-struct EngineDisconnected {  // refused, not up in time, reset, closed or broken
+struct EngineDisconnected {  // refused, timed out while connecting, reset, closed or invalid data received
   EngineConnectionId connection{};
   std::string cause;
-  bool local_fault = false;  // never up, for a lack on this machine that may pass: no fault of the engine
+  bool local_fault = false;  // not connected due to a temporary shortage of local resources
 };
 struct ResponseReceived {
   EngineConnectionId connection{};
@@ -85,17 +86,17 @@
 struct EngineListChanged {
   config::MembersEvent event;
 };
-struct BeginShutdown {         // a planned restart has begun
+struct BeginShutdown {         // starts a planned restart
   bool has_successor = false;  // another process shares the listener and is ready
-  Duration max_duration{};     // with a successor: it may be killed so long after
+  Duration max_duration{};     // with a successor: the process may be killed after this time
 };
-struct StartDraining {};  // by the operators: clients are to leave
-struct Resume {};         // by the operators: clients may come back
+struct StartDraining {};  // requested by the operators: stop serving clients
+struct Resume {};         // requested by the operators: serve clients again
 using Event = std::variant<SessionOpened, RequestReceived, BadRequest, RequestCancelled, ProbeReceived,
                            QuoteRequested, SessionClosed, SessionStalled, EngineConnected, EngineDisconnected,
                            ResponseReceived, EngineListChanged, BeginShutdown, StartDraining, Resume>;
 
-// ---------------------------------------------------------------- actions
+// Ports
 
 struct Result {
   std::string rows;
@@ -107,19 +108,20 @@
  public:
   virtual ~ClientPort() = default;
   virtual void send_result(SessionId session, CallId call, Result result) = 0;
-  virtual void send_rejection(SessionId session, CallId call, Duration come_back_after) = 0;
-  virtual void send_failure(SessionId session, CallId call, std::string_view why) = 0;
-  virtual void send_readiness(SessionId session, CallId call, bool able) = 0;
-  // The wait quoted to a request that was admitted, for protocols whose answers can carry it.
+  virtual void send_rejection(SessionId session, CallId call, Duration retry_after) = 0;
+  virtual void send_failure(SessionId session, CallId call, std::string_view cause) = 0;
+  virtual void send_readiness(SessionId session, CallId call, bool ready) = 0;
+  // Adds the quoted wait to the answer of an admitted request, in protocols that support it.
   virtual void attach_quote(SessionId, CallId, const queues::Quote&) {}
   virtual void send_quote(SessionId, CallId, const queues::Quote&) {}
-  virtual void close(SessionId session) = 0;  // a SessionClosed follows
-  // The same, unless something has come from it whose event was not raised yet; then false.
+  virtual void close(SessionId session) = 0;  // is followed by a SessionClosed event
+  // Like close(), but returns false and leaves the connection open if it has received data whose event was
+  // not raised yet.
   virtual bool close_if_idle(SessionId session) = 0;
-  // Closed once its answers are written; a SessionClosed follows.
+  // Closes the connection once its answers are written; a SessionClosed event follows.
   virtual void close_after_responses(SessionId session) { close(session); }
-  // Whether its client has closed the connection, though the SessionClosed has not come yet; checked right
-  // before an attempt leaves.
+  // Returns whether the client has closed the connection, even if SessionClosed was not raised yet. Called
+  // right before an attempt is sent.
   virtual bool has_disconnected(SessionId) { return false; }
 };
 
@@ -128,15 +130,15 @@
   virtual ~EnginePort() = default;
   virtual void connect(EngineConnectionId connection, const config::Endpoint& endpoint, Time deadline) = 0;
   virtual void send(EngineConnectionId connection, AttemptTag tag, EngineRequest request) = 0;
-  // Withdraws a request of which nothing was written yet; false: some of it may have been.
+  // Withdraws a request that is not written yet. Returns false if some of it may have been written.
   virtual bool withdraw(EngineConnectionId connection, AttemptTag tag) = 0;
   virtual void cancel(EngineConnectionId connection, std::string_view id) = 0;
-  virtual void ping(EngineConnectionId connection,
-                    std::string_view tag) = 0;  // answered with a pong of this tag
+  // The engine answers with a pong that carries the tag.
+  virtual void ping(EngineConnectionId connection, std::string_view tag) = 0;
   virtual void set_priority(EngineConnectionId connection, std::string_view id, std::uint32_t band) = 0;
   virtual void fetch_page(EngineConnectionId connection, std::string_view id, std::uint32_t page) = 0;
   virtual void release_result(EngineConnectionId connection, std::string_view id) = 0;
-  virtual void close(EngineConnectionId connection) = 0;  // no further event of it matters
+  virtual void close(EngineConnectionId connection) = 0;  // its later events are ignored
 };
 
 class Log {
--- a/src/dispatch/request.h
+++ b/src/dispatch/request.h
@@ -1,4 +1,4 @@
-// The records of a request and of its attempt. Plain values, owned by the RequestTable.
+// The records of a request and its attempt. Plain values, owned by the RequestTable.
 #pragma once
 
 #include <map>
@@ -11,8 +11,8 @@
 
 namespace yokestream::dispatch {
 
-// connecting: on no connection yet, nothing has left. cancelling: the engine has yet to confirm the cancel.
-// fetching: the query ran, and further pages of its result are on the way.
+// connecting: the attempt has no connection, and nothing was sent. cancelling: the engine has not confirmed
+// the cancel yet. fetching: the query has run, and further pages of its result are being fetched.
 enum class AttemptPhase { connecting, in_flight, cancelling, fetching };
 
 struct Attempt {
@@ -21,27 +21,27 @@
   EngineConnectionId connection{};
   AttemptTag tag = 0;
   Time sent_at{};
-  Time connect_by{};  // a connection is up by then
-  Time respond_by{};  // the engine's response is wanted by then
+  Time connect_deadline{};
+  Time response_deadline{};  // of the engine's response
   AttemptPhase phase = AttemptPhase::in_flight;
-  EngineResponse response;  // the engine's last word; when fetching, its body grown by the pages
-  std::map<std::uint32_t, std::string> pages;
-  Reservation memory_reservation;  // of the result
-  policy::Duration elapsed{};      // until the result came
+  EngineResponse response;                     // the engine's last response
+  std::map<std::uint32_t, std::string> pages;  // fetched pages after the first, by index
+  Reservation memory_reservation;              // for the result
+  policy::Duration elapsed{};                  // until the result arrived
 };
 
 struct Request {
   RequestReceived received;
-  std::vector<EngineConnectionId> used_connections;  // by its attempts so far
-  std::uint32_t requested_priority = 1;              // by the decision module
+  std::vector<EngineConnectionId> used_connections;  // by all attempts so far
+  std::uint32_t requested_priority = 1;              // set by the decision module
   std::uint32_t attempt_count = 0;
-  bool answered = false;  // the client is owed no answer any more
+  bool answered = false;  // the call is closed: the client was answered or no longer wants an answer
   std::optional<Attempt> attempt;
-  Reservation memory_reservation;  // of the statement
-  TimerQueue::Handle response_deadline;
-  TimerQueue::Handle watchdog;
+  Reservation memory_reservation;  // for the statement
+  TimerQueue::Handle response_deadline_timer;
+  TimerQueue::Handle watchdog_timer;
   Time submitted_at{};                                // to the decision module
-  std::optional<policy::EngineSet> eligible_engines;  // as the decision module was notified last
+  std::optional<policy::EngineSet> eligible_engines;  // as last reported to the decision module
   door::Outcome stage_outcome;                        // reported to the admission stages at the end
 };
 
--- a/src/dispatch/request_admission.h
+++ b/src/dispatch/request_admission.h
@@ -1,10 +1,10 @@
-// The way of a request from its arrival to the decision module: checks, then the admission stages.
+// Takes a request from its arrival to the decision module: first the checks, then the admission stages.
 //
-//   handle(RequestReceived) -> offer_to_throttle -> after_throttle (scheduler) -> submit_to_policy
+//   handle(RequestReceived) -> offer_to_throttle -> on_throttle_passed (scheduler) -> submit_to_policy
 //
-// Owns the handle of the stages' timer. Invariants: every request that arrives is answered at once, queued in
-// a stage, or submitted to the decision module; one in the RequestTable has a watchdog past its deadline, so
-// that whatever else goes wrong it is answered. One thread.
+// Owns the handle of the stages' timer. Invariants: every request that arrives is answered immediately,
+// queued in a stage, or submitted to the decision module. Each request in the RequestTable has a watchdog
+// timer after its deadline, so that it is answered whatever else goes wrong. Not thread-safe.
 #pragma once
 
 #include "config/config.h"
@@ -17,7 +17,7 @@
 
 class RequestAdmission {
  public:
-  struct Collaborators {
+  struct Dependencies {
     const config::Config& config;
     const DispatchClock& clock;
     Budget& budget;
@@ -32,28 +32,29 @@
     ClientResponder& responder;
     PolicyEventQueue& policy_events;
   };
-  explicit RequestAdmission(const Collaborators& collaborators)
-      : use_(collaborators), stage_timer_(collaborators.timers.none()) {}
+  explicit RequestAdmission(const Dependencies& dependencies)
+      : deps_(dependencies), stage_timer_(dependencies.timers.none()) {}
 
   void handle(RequestReceived request);
   void handle(const QuoteRequested& quote);
-  void handle(const StageTimer&) { stage_timer_ = use_.timers.none(); }
+  void handle(const StageTimer&) { stage_timer_ = deps_.timers.none(); }
 
-  // Moves one waiting request out of a stage; false: none may move.
+  // Moves one queued request out of a stage. Returns false if no request can move.
   bool advance_one();
-  // Sees to it that a timer fires when a stage may move a request next.
+  // Schedules a timer for the time at which a stage may move a request next.
   void schedule_stage_timer();
 
  private:
-  bool answered_at_once(const RequestReceived& request);
-  bool rejected_by_throttle(policy::QueryId query, const RequestReceived& request, door::Verdict* verdict);
-  void keep_deadline_margin(RequestReceived& request) const;
-  void after_throttle(policy::QueryId query, double cost_s);
+  bool answer_immediately(const RequestReceived& request);
+  bool reject_by_throttle(policy::QueryId query, const RequestReceived& request,
+                          door::Verdict* throttle_verdict);
+  void apply_deadline_margin(RequestReceived& request) const;
+  void on_throttle_passed(policy::QueryId query, double cost_s);
   void submit_to_policy(policy::QueryId query, double cost_s);
   bool advance_throttle();
   bool advance_scheduler();
 
-  Collaborators use_;
+  Dependencies deps_;
   TimerQueue::Handle stage_timer_;
 };
 
--- a/src/dispatch/request_table.cpp
+++ b/src/dispatch/request_table.cpp
@@ -41,7 +41,7 @@
 void RequestTable::close_call(Request& request) {
   request.answered = true;
   open_calls_.erase({request.received.session, request.received.call});
-  timers_.cancel(request.watchdog);
+  timers_.cancel(request.watchdog_timer);
 }
 
 void RequestTable::forget_if_done(QueryId query) {
@@ -50,7 +50,7 @@
   if (!request.answered || request.attempt) return;
   stages_.on_request_finished(clock_.now(), query, request.stage_outcome);
   request_ids_in_use_.erase(request.received.request_id);
-  timers_.cancel(request.response_deadline);
+  timers_.cancel(request.response_deadline_timer);
   requests_.erase(it);
 }
 
--- a/src/dispatch/request_table.h
+++ b/src/dispatch/request_table.h
@@ -1,8 +1,8 @@
-// Every request that is not over: by query, by the client's call, and by the client's request id.
+// All unfinished requests, indexed by query, by the client's call and by the client's request id.
 //
-// Owns the requests. Invariants: a call is open exactly as long as its client is owed an answer; close_call()
-// is the only way out. A request stays in the table until its attempt has ended as well (forget_if_done). One
-// thread. Memory: one record a request, bounded by the cap on open requests.
+// Owns the requests. Invariants: a call is open exactly as long as its client is owed an answer, and only
+// close_call() closes it. A request stays in the table until its attempt has ended as well (see
+// forget_if_done()). Not thread-safe. Memory: one record per request, bounded by the limit on open requests.
 #pragma once
 
 #include <map>
@@ -30,7 +30,7 @@
 
   Request* find(policy::QueryId query);
   Request& at(policy::QueryId query) { return requests_.at(query); }
-  // The request, if its attempt is still this one; else nullptr.
+  // Returns the request if its current attempt has this tag; otherwise nullptr.
   Request* find_attempt(policy::QueryId query, AttemptTag tag);
   std::optional<policy::QueryId> find_open_call(SessionId session, CallId call) const;
   std::vector<policy::QueryId> open_calls_of(SessionId session) const;
@@ -38,7 +38,7 @@
   std::size_t open_call_count() const { return open_calls_.size(); }
   bool uses_request_id(const std::string& id) const { return request_ids_in_use_.count(id) > 0; }
 
-  // The client is owed no answer from now on.
+  // Marks the request as answered: its client is owed no answer any more.
   void close_call(Request& request);
   // Removes a request that is answered and has no attempt, and reports its end to the admission stages.
   void forget_if_done(policy::QueryId query);
--- a/src/dispatch/response_handler.h
+++ b/src/dispatch/response_handler.h
@@ -1,9 +1,10 @@
-// What an engine's response means in the phase that its attempt is in.
+// Handles the responses of engines according to the phase of the attempt.
 //
-// Owns no state: attempts are in the requests of the RequestTable. Invariants: a response counts for an
-// attempt only if its connection carries the request's id; anything else is late and dropped. Rows reach a
-// client only complete, in order and checked; a connection that brought one corrupt response is closed. Once
-// `result` has come the query ran: whatever follows is about its pages. One thread.
+// Stateless: attempts are stored in the requests of the RequestTable. Invariants: a response is accepted only
+// if the request with its id is in flight on the same connection; any other response is late and is dropped.
+// Rows reach a client only complete, in order and validated; a connection that delivers one corrupt response
+// is closed. After a `result` response the query has run, and all further responses concern its pages. Not
+// thread-safe.
 #pragma once
 
 #include "dispatch/attempt_tracker.h"
@@ -13,7 +14,7 @@
 
 class ResponseHandler {
  public:
-  struct Collaborators {
+  struct Dependencies {
     const DispatchClock& clock;
     Budget& budget;
     EnginePort& engines;
@@ -25,7 +26,7 @@
     ClientResponder& responder;
     PolicyEventQueue& policy_events;
   };
-  explicit ResponseHandler(const Collaborators& collaborators) : use_(collaborators) {}
+  explicit ResponseHandler(const Dependencies& dependencies) : deps_(dependencies) {}
 
   void handle(const ResponseReceived& received);
 
@@ -39,7 +40,7 @@
   void fail_unserviceable(policy::QueryId query, Request& request);
   void on_corrupt_response(EngineConnectionId connection);
 
-  Collaborators use_;
+  Dependencies deps_;
 };
 
 }  // namespace yokestream::dispatch
--- a/src/dispatch/route_guard.cpp
+++ b/src/dispatch/route_guard.cpp
@@ -7,7 +7,7 @@
 
 using policy::EngineSet;
 
-std::int64_t microseconds_of(Duration duration) {
+std::int64_t to_microseconds(Duration duration) {
   return std::chrono::duration_cast<std::chrono::microseconds>(duration).count();
 }
 
@@ -45,7 +45,7 @@
   return route.allowed_engines ? std::optional(*route.allowed_engines) : std::nullopt;
 }
 
-bool RouteGuard::bars(const routing::Route& route, const std::string& engine_uid) const {
+bool RouteGuard::excludes(const routing::Route& route, const std::string& engine_uid) const {
   if (route.closed) return true;
   if (!route.allowed_engines) return false;
   const std::uint32_t slot = router_.slot_of(engine_uid);
@@ -53,7 +53,7 @@
 }
 
 void RouteGuard::record_outcome(Time now, const Request& request, bool served) {
-  if (!request.eligible_engines) return;  // no rule, or never submitted to the decision module
+  if (!request.eligible_engines) return;  // the area has no rule, or the request was never submitted
   const policy::ClassSettings& cls = class_of(request.received);
   const routing::Route route = route_of(now, request.received);
   if (!route.allowed_engines || cls.idempotency != policy::Idempotency::idempotent) return;
@@ -62,8 +62,8 @@
   ++side.total;
   side.served += served;
   if (!served || !request.received.work || !request.attempt) return;
-  side.elapsed_us += microseconds_of(request.attempt->elapsed);
-  side.estimated_us += microseconds_of(
+  side.elapsed_us += to_microseconds(request.attempt->elapsed);
+  side.estimated_us += to_microseconds(
       std::chrono::duration_cast<Duration>(*request.received.work / std::max(1.0, cls.threads)));
 }
 
--- a/src/dispatch/service_controller.h
+++ b/src/dispatch/service_controller.h
@@ -1,10 +1,10 @@
-// Carries out the service lifecycle: closes idle client sessions as its state asks, and answers whatever is
-// open at the shutdown deadline.
+// Carries out the service lifecycle: closes idle client sessions when its state requires it, and answers all
+// open requests at the shutdown deadline.
 //
-// Owns the ServiceLifecycle and whether a timer for idle sessions is scheduled. In a graceful shutdown, who
-// comes in the first while is served, who comes later is rejected, and by the deadline everybody has an
-// answer: a request of which no attempt was sent, or that is idempotent, is rejected; any other one fails.
-// One thread.
+// Owns the ServiceLifecycle and whether a timer for idle sessions is scheduled. In a graceful shutdown,
+// requests that arrive early are served and later ones are rejected. At the deadline every open request is
+// answered: it is rejected if no attempt was sent or if it is idempotent, and fails otherwise. Not
+// thread-safe.
 #pragma once
 
 #include "config/config.h"
@@ -15,7 +15,7 @@
 
 class ServiceController {
  public:
-  struct Collaborators {
+  struct Dependencies {
     const config::Config& config;
     const DispatchClock& clock;
     ClientSessions& sessions;
@@ -23,20 +23,20 @@
     TimerQueue& timers;
     ClientResponder& responder;
   };
-  explicit ServiceController(const Collaborators& collaborators) : use_(collaborators) {}
+  explicit ServiceController(const Dependencies& dependencies) : deps_(dependencies) {}
 
   const ServiceLifecycle& lifecycle() const { return lifecycle_; }
 
   void handle(const BeginShutdown& shutdown);
   void handle(const StartDraining&);
-  void handle(const Resume&) { lifecycle_.resume(use_.clock.now()); }
+  void handle(const Resume&) { lifecycle_.resume(deps_.clock.now()); }
   void handle(const IdleSessionTimer&);
   void handle(const ShutdownDeadline&);
-  // Advances the lifecycle and closes the sessions that are idle for too long in its state.
+  // Advances the lifecycle and closes the sessions that were idle for longer than its state allows.
   void update();
 
  private:
-  Collaborators use_;
+  Dependencies deps_;
   ServiceLifecycle lifecycle_;
   bool idle_timer_scheduled_ = false;
 };
--- a/src/dispatch/service_lifecycle.cpp
+++ b/src/dispatch/service_lifecycle.cpp
@@ -7,22 +7,24 @@
 
 using std::chrono::milliseconds;
 
-// After the shutdown notice clients still find this manager for a while, and it serves what comes; what comes
-// later has no time to be served. It may be killed 3.7 s after the notice, so by then everybody has an
-// answer.
-constexpr Duration kShutdownAcceptsRequests = milliseconds(700);
-constexpr Duration kShutdownListens = milliseconds(2400);  // clients in the backlog are still accepted
-constexpr Duration kShutdownDeadline = milliseconds(2900);
-constexpr Duration kMarginBeforeKill = milliseconds(800);  // with a successor: all is answered by then
-// From the acceptance of a connection until the core has its events: beside a successor, and alone.
+// Clients still find this manager for a while after the shutdown notice. Requests that arrive in the accept
+// period are served; there is no time left to serve later ones. The process may be killed 3.7 s after the
+// notice, so all requests are answered by kShutdownDuration.
+constexpr Duration kShutdownAcceptPeriod = milliseconds(700);
+constexpr Duration kShutdownListenPeriod = milliseconds(2400);  // accepts clients in the listen backlog
+constexpr Duration kShutdownDuration = milliseconds(2900);
+// With a successor: all requests are answered this long before the process may be killed.
+constexpr Duration kAnswerMarginBeforeKill = milliseconds(800);
+// With a successor: requests that arrive this shortly before the shutdown deadline are rejected.
+constexpr Duration kRejectPeriodBeforeDeadline = milliseconds(300);
+// From the acceptance of a connection until the dispatcher has its events.
 constexpr Duration kAcceptDelayWithSuccessor = milliseconds(300);
 constexpr Duration kAcceptDelayAlone = milliseconds(50);
-constexpr Duration kRejectBeforeDeadline =
-    milliseconds(300);  // with a successor: what comes then is rejected
-// Draining: at 4 s no connection may carry a request of the last 2 s, so what comes later than this is
-// rejected; the platform's clock may differ by a turn of the core.
-constexpr Duration kDrainingServes = milliseconds(1600);
-constexpr Duration kMaxReturn = milliseconds(1000);  // readiness is due again at 2 s
+// At 4 s after the start of draining no connection may carry a request of the last 2 s, so requests that
+// arrive after this period are rejected. The margin covers the difference between the platform's clock and
+// the dispatcher's, up to one iteration of the dispatcher.
+constexpr Duration kDrainingServePeriod = milliseconds(1600);
+constexpr Duration kMaxReturnDuration = milliseconds(1000);  // readiness is due 2 s after resume()
 
 }  // namespace
 
@@ -40,18 +42,20 @@
     return;
   }
   enter(State::shutting_down, now);
-  shutdown_deadline_ = has_successor ? now + std::max(max_duration - kMarginBeforeKill, kMarginBeforeKill)
-                                     : now + kShutdownDeadline;
-  listen_until_ = has_successor ? now : now + kShutdownListens;
+  shutdown_deadline_ = has_successor
+                           ? now + std::max(max_duration - kAnswerMarginBeforeKill, kAnswerMarginBeforeKill)
+                           : now + kShutdownDuration;
+  listen_until_ = has_successor ? now : now + kShutdownListenPeriod;
   accept_requests_until_ =
-      has_successor ? shutdown_deadline_ - kRejectBeforeDeadline : now + kShutdownAcceptsRequests;
+      has_successor ? shutdown_deadline_ - kRejectPeriodBeforeDeadline : now + kShutdownAcceptPeriod;
   may_exit_from_ = listen_until_ + (has_successor ? kAcceptDelayWithSuccessor : kAcceptDelayAlone);
   close_idle_from_ = has_successor ? now : accept_requests_until_;
 }
 
-void ServiceLifecycle::tick(Time now, bool closing) {
-  if (state_ == State::draining && now >= entered_at_ + kDrainingServes) enter(State::drained, now);
-  if (state_ == State::returning && (!closing || now >= entered_at_ + kMaxReturn)) enter(State::ready, now);
+void ServiceLifecycle::tick(Time now, bool any_connection_closing) {
+  if (state_ == State::draining && now >= entered_at_ + kDrainingServePeriod) enter(State::drained, now);
+  if (state_ == State::returning && (!any_connection_closing || now >= entered_at_ + kMaxReturnDuration))
+    enter(State::ready, now);
 }
 
 }  // namespace yokestream::dispatch
--- a/src/dispatch/service_lifecycle.h
+++ b/src/dispatch/service_lifecycle.h
@@ -1,23 +1,23 @@
-// Whether this process serves clients, and how it lets them go: a graceful shutdown, draining by the
-// operators, and the way back. Owns these states; everything else asks.
+// The service state of this process: ready, draining and its reversal (by the operators), and graceful
+// shutdown. Determines whether connections and requests are accepted and when idle connections are closed.
 //
-//   state          start_draining  resume     begin_shutdown  in time
+//   state          start_draining  resume     begin_shutdown  tick
 //   ready          draining        -          shutting_down   -
-//   draining       -               returning  shutting_down   drained, after kDrainingServes
+//   draining       -               returning  shutting_down   drained, after kDrainingServePeriod
 //   drained        -               returning  shutting_down   -
-//   returning      draining        -          shutting_down   ready, once nothing is being closed or after
-//                                                             kMaxReturn
+//   returning      draining        -          shutting_down   ready, once no connection is being closed or
+//                                                             after kMaxReturnDuration
 //   shutting_down  -               -          -               -
 //
 //                  ready  accepts connections  accepts requests           closes idle connections
 //   ready          yes    yes                  yes                        no
 //   draining       no     yes                  yes                        yes
-//   drained        no     yes                  no: rejected at once       yes
+//   drained        no     yes                  no: rejected immediately   yes
 //   returning      no     yes                  yes                        no
 //   shutting_down  no     until listen_until_  until                      from close_idle_from_ on
 //                                              accept_requests_until_
 //
-// Pure: every call has a time, which never runs backwards. One thread.
+// Pure: callers pass the time, which must be monotonic. Not thread-safe.
 #pragma once
 
 #include "dispatch/ports.h"
@@ -30,11 +30,11 @@
 
   void start_draining(Time now);
   void resume(Time now);
-  // A planned restart. Repeated, it only takes in a successor that came late. With a successor, which shares
-  // the listener, no connection is accepted any more, and what comes on open ones is served for as long as
-  // `max_duration` allows: the time after which the process may be killed.
+  // Starts a planned restart. A repeated call only takes a successor into account that became ready later.
+  // With a successor, which shares the listener, no further connection is accepted, and requests on open
+  // connections are served for as long as `max_duration` allows; after it the process may be killed.
   void begin_shutdown(Time now, bool has_successor, Duration max_duration);
-  void tick(Time now, bool closing);  // `closing`: whether some connection is being closed
+  void tick(Time now, bool any_connection_closing);
 
   State state() const { return state_; }
   bool is_shutting_down() const { return state_ == State::shutting_down; }
@@ -44,9 +44,10 @@
   bool closes_idle_connections(Time now) const {
     return state_ == State::draining || state_ == State::drained || now >= close_idle_from_;
   }
-  // Shutting down: the core has the events of what was accepted last, so nothing unknown to it is owed.
+  // In a shutdown: by now the dispatcher has received the events of the connections accepted last, so no
+  // client that it doesn't know of is owed an answer.
   bool may_exit(Time now) const { return now >= may_exit_from_; }
-  // Nothing is open from then on; Time::max(): not shutting down.
+  // All open requests are answered at this time; Time::max() if not shutting down.
   Time shutdown_deadline() const { return shutdown_deadline_; }
 
  private:
--- a/src/dispatch/timer_queue.h
+++ b/src/dispatch/timer_queue.h
@@ -1,5 +1,5 @@
-// The timers of the dispatcher: what is to happen at which time. TimerQueue owns them; timers of equal time
-// fire in the order in which they were scheduled. One thread.
+// The timers of the dispatcher. TimerQueue owns them; timers with the same due time fire in the order in
+// which they were scheduled. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -11,30 +11,31 @@
 
 namespace yokestream::dispatch {
 
-struct PolicyTimer {  // one that the decision module asked for
+struct PolicyTimer {  // requested by the decision module
   std::uint64_t token = 0;
 };
-struct ResponseDeadline {  // an attempt that still runs is given up, so that the client is answered in time
+struct ResponseDeadline {  // abandons an attempt that is still running, so that the client is answered in
+                           // time
   policy::QueryId query{};
 };
-struct DeadlineWatchdog {  // past the deadline: fails a request that nothing else has answered
+struct DeadlineWatchdog {  // fails a request that is still unanswered after its deadline
   policy::QueryId query{};
 };
-struct AttemptTimer {  // the attempt's timeout, or the end of the wait for a confirmed cancellation
+struct AttemptTimer {  // the attempt's timeout, its lease expiry, or the timeout of its cancel confirmation
   policy::QueryId query{};
   AttemptTag tag = 0;
   policy::Outcome outcome{};
   Time scheduled_at{};
 };
-struct ReconnectTimer {  // no connection could be had for this attempt
+struct ReconnectTimer {  // retries to get a connection for this attempt
   policy::QueryId query{};
   AttemptTag tag = 0;
 };
 struct MaintenanceTimer {};  // periodic housekeeping
-struct IdleSessionTimer {};  // idle client sessions are closed now
-struct StageTimer {};        // a request that waits in an admission stage may have to move
-struct ShutdownDeadline {};  // every open request is answered now
-struct RouteLeaseExpiry {};  // the lease on the routes is over, unless it was renewed
+struct IdleSessionTimer {};  // closes idle client sessions
+struct StageTimer {};        // a request that is queued in an admission stage may have to move
+struct ShutdownDeadline {};  // answers every open request
+struct RouteLeaseExpiry {};  // the lease on the routes expires, unless it was renewed
 using Timer =
     std::variant<PolicyTimer, ResponseDeadline, DeadlineWatchdog, AttemptTimer, ReconnectTimer,
                  MaintenanceTimer, IdleSessionTimer, StageTimer, ShutdownDeadline, RouteLeaseExpiry>;
@@ -45,16 +46,16 @@
   using Handle = Entries::iterator;
 
   Handle schedule(Time due, Timer timer) { return timers_.emplace(due, std::move(timer)); }
-  // Removes the timer, if there is one, and resets the handle to none().
+  // Removes the timer if it is scheduled, and resets the handle to none().
   void cancel(Handle& handle) {
     if (is_scheduled(handle)) timers_.erase(handle);
     handle = none();
   }
   Handle none() { return timers_.end(); }
   bool is_scheduled(const Handle& handle) const { return handle != timers_.end(); }
-  // Time::max(): no timer is scheduled.
+  // Time::max() if no timer is scheduled.
   Time next_due() const { return timers_.empty() ? Time::max() : timers_.begin()->first; }
-  // The earliest timer that is due at `now`, removed; handles to it are invalid from then on.
+  // Removes and returns the earliest timer that is due at `now`. Invalidates handles to it.
   std::optional<Timer> pop_due(Time now) {
     if (next_due() > now || timers_.empty()) return std::nullopt;
     return std::move(timers_.extract(timers_.begin()).mapped());
