--- a/src/dispatch/admission_stages.cpp
+++ b/src/dispatch/admission_stages.cpp
@@ -74,7 +74,7 @@
 
 queues::Arrival AdmissionStages::scheduler_arrival(Time now, QueryId query, const RequestReceived& request,
                                                    double cost_s) const {
-  const policy::ClassSettings& cls = class_of(request);
+  const policy::ClassSettings& query_class = class_of(request);
   const double reported_s = request.work ? seconds_of(*request.work) : 0;
   const double estimate_s = cost_s > 0 ? cost_s : reported_s;
   queues::Arrival arrival;
@@ -82,11 +82,12 @@
   arrival.member = static_cast<std::size_t>(request.tenant);
   arrival.cls = static_cast<std::size_t>(request.query_class);
   arrival.estimated_work_s = estimate_s;
-  arrival.threads = cls.threads;
+  arrival.threads = query_class.threads;
   arrival.deadline = request.deadline;
-  arrival.wanted = now + cls.latency_objective +
-                   from_seconds(cls.latency_objective_stretch * estimate_s / std::max(1.0, cls.threads));
-  arrival.load = cls.locks_table_group || cls.idempotency != policy::Idempotency::idempotent;
+  arrival.wanted =
+      now + query_class.latency_objective +
+      from_seconds(query_class.latency_objective_stretch * estimate_s / std::max(1.0, query_class.threads));
+  arrival.load = query_class.locks_table_group || query_class.idempotency != policy::Idempotency::idempotent;
   return arrival;
 }
 
--- a/src/dispatch/client_responder.cpp
+++ b/src/dispatch/client_responder.cpp
@@ -13,9 +13,9 @@
 // answer.
 void ClientResponder::reject(const RequestReceived& request, Duration retry_after) {
   const policy::Settings& settings = deps_.config.settings;
-  const Duration advice =
+  const Duration advised_delay =
       settings.may_send_retry_after ? std::min(retry_after, settings.max_retry_after) : Duration{};
-  deps_.clients.send_rejection(request.session, request.call, advice);
+  deps_.clients.send_rejection(request.session, request.call, advised_delay);
   deps_.metrics.ended(static_cast<std::size_t>(request.query_class), figures::End::refused);
   if (deps_.sessions.on_response_sent(deps_.clock.now(), request.session)) close_if_idle(request.session);
 }
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -147,7 +147,7 @@
   while (const auto event = policy_events_.pop()) {
     actions_.clear();
     controller_.handle(clock_.now(), *event, actions_);
-    for (const auto& action : actions_) std::visit([this](const auto& each) { act(each); }, action);
+    for (const auto& action : actions_) std::visit([this](const auto& chosen) { act(chosen); }, action);
   }
 }
 
@@ -171,13 +171,13 @@
 }
 
 void Dispatcher::on(const SessionClosed& closed) {
-  const std::vector<QueryId> open = requests_.open_calls_of(closed.session);
+  const std::vector<QueryId> open_queries = requests_.open_calls_of(closed.session);
   // The client may not have closed the connection itself, so the loss of open requests is logged with the
   // cause.
-  if (!open.empty())
-    log_.write("client connection closed: open_requests=" + std::to_string(open.size()) + " cause=\"" +
-               closed.cause + "\"");
-  for (const QueryId query : open) responder_.abandon(query);
+  if (!open_queries.empty())
+    log_.write("client connection closed: open_requests=" + std::to_string(open_queries.size()) +
+               " cause=\"" + closed.cause + "\"");
+  for (const QueryId query : open_queries) responder_.abandon(query);
   sessions_.remove(closed.session);
 }
 
--- a/src/dispatch/engine_directory.cpp
+++ b/src/dispatch/engine_directory.cpp
@@ -20,8 +20,8 @@
 // Guard: an engine is removed after it has been gone for kForgetGoneAfter. An engine that returns earlier is
 // still known, and its start is converted to the same time.
 void EngineDirectory::forget_gone(Time now) {
-  std::erase_if(engines_, [&](const auto& known) {
-    const auto& [uid, record] = known;
+  std::erase_if(engines_, [&](const auto& entry) {
+    const auto& [uid, record] = entry;
     if (!record.gone_since || now - *record.gone_since < kForgetGoneAfter) return false;
     start_times_.forget(uid);
     const auto owner = uid_of_endpoint_.find(record.endpoint);
@@ -95,8 +95,8 @@
 }
 
 std::size_t EngineDirectory::listed_count() const {
-  return static_cast<std::size_t>(std::count_if(engines_.begin(), engines_.end(), [](const auto& known) {
-    return known.second.state != policy::EngineState::gone;
+  return static_cast<std::size_t>(std::count_if(engines_.begin(), engines_.end(), [](const auto& entry) {
+    return entry.second.state != policy::EngineState::gone;
   }));
 }
 
--- a/src/dispatch/request_table.cpp
+++ b/src/dispatch/request_table.cpp
@@ -27,11 +27,11 @@
 }
 
 std::vector<QueryId> RequestTable::open_calls_of(SessionId session) const {
-  std::vector<QueryId> open;
+  std::vector<QueryId> open_queries;
   for (auto it = open_calls_.lower_bound({session, 0}); it != open_calls_.end() && it->first.first == session;
        ++it)
-    open.push_back(it->second);
-  return open;
+    open_queries.push_back(it->second);
+  return open_queries;
 }
 
 std::optional<QueryId> RequestTable::first_open_call() const {
--- a/src/dispatch/route_guard.cpp
+++ b/src/dispatch/route_guard.cpp
@@ -54,9 +54,9 @@
 
 void RouteGuard::record_outcome(Time now, const Request& request, bool served) {
   if (!request.eligible_engines) return;  // the area has no rule, or the request was never submitted
-  const policy::ClassSettings& cls = class_of(request.received);
+  const policy::ClassSettings& query_class = class_of(request.received);
   const routing::Route route = route_of(now, request.received);
-  if (!route.allowed_engines || cls.idempotency != policy::Idempotency::idempotent) return;
+  if (!route.allowed_engines || query_class.idempotency != policy::Idempotency::idempotent) return;
   auto& [source_side, target_side] = tallies_[request.received.table_group];
   routing::OutcomeTally& side = route.moved ? target_side : source_side;
   ++side.total;
@@ -64,7 +64,7 @@
   if (!served || !request.received.work || !request.attempt) return;
   side.elapsed_us += to_microseconds(request.attempt->elapsed);
   side.estimated_us += to_microseconds(
-      std::chrono::duration_cast<Duration>(*request.received.work / std::max(1.0, cls.threads)));
+      std::chrono::duration_cast<Duration>(*request.received.work / std::max(1.0, query_class.threads)));
 }
 
 }  // namespace yokestream::dispatch
--- a/src/dispatch/service_controller.cpp
+++ b/src/dispatch/service_controller.cpp
@@ -35,8 +35,9 @@
 void ServiceController::handle(const ShutdownDeadline&) {
   while (const auto query = deps_.requests.first_open_call()) {
     const Request& request = deps_.requests.at(*query);
-    const auto& cls = deps_.config.settings.classes[static_cast<std::size_t>(request.received.query_class)];
-    if (request.attempt_count == 0 || cls.idempotency == policy::Idempotency::idempotent)
+    const auto& query_class =
+        deps_.config.settings.classes[static_cast<std::size_t>(request.received.query_class)];
+    if (request.attempt_count == 0 || query_class.idempotency == policy::Idempotency::idempotent)
       deps_.responder.reject(request.received, Duration{});
     else
       deps_.responder.fail(request.received, "Leaving");
--- a/src/dispatch/service_lifecycle.cpp
+++ b/src/dispatch/service_lifecycle.cpp
@@ -24,16 +24,16 @@
 // arrive after this period are rejected. The margin covers the difference between the platform's clock and
 // the dispatcher's, up to one iteration of the dispatcher.
 constexpr Duration kDrainingServePeriod = milliseconds(1600);
-constexpr Duration kMaxReturnDuration = milliseconds(1000);  // readiness is due 2 s after resume()
+constexpr Duration kMaxResumeDuration = milliseconds(1000);  // readiness is due 2 s after resume()
 
 }  // namespace
 
 void ServiceLifecycle::start_draining(Time now) {
-  if (state_ == State::ready || state_ == State::returning) enter(State::draining, now);
+  if (state_ == State::ready || state_ == State::resuming) enter(State::draining, now);
 }
 
 void ServiceLifecycle::resume(Time now) {
-  if (state_ == State::draining || state_ == State::drained) enter(State::returning, now);
+  if (state_ == State::draining || state_ == State::drained) enter(State::resuming, now);
 }
 
 void ServiceLifecycle::begin_shutdown(Time now, bool has_successor, Duration max_duration) {
@@ -54,7 +54,7 @@
 
 void ServiceLifecycle::tick(Time now, bool any_connection_closing) {
   if (state_ == State::draining && now >= entered_at_ + kDrainingServePeriod) enter(State::drained, now);
-  if (state_ == State::returning && (!any_connection_closing || now >= entered_at_ + kMaxReturnDuration))
+  if (state_ == State::resuming && (!any_connection_closing || now >= entered_at_ + kMaxResumeDuration))
     enter(State::ready, now);
 }
 
--- a/src/dispatch/service_lifecycle.h
+++ b/src/dispatch/service_lifecycle.h
@@ -3,17 +3,17 @@
 //
 //   state          start_draining  resume     begin_shutdown  tick
 //   ready          draining        -          shutting_down   -
-//   draining       -               returning  shutting_down   drained, after kDrainingServePeriod
-//   drained        -               returning  shutting_down   -
-//   returning      draining        -          shutting_down   ready, once no connection is being closed or
-//                                                             after kMaxReturnDuration
+//   draining       -               resuming   shutting_down   drained, after kDrainingServePeriod
+//   drained        -               resuming   shutting_down   -
+//   resuming       draining        -          shutting_down   ready, once no connection is being closed or
+//                                                             after kMaxResumeDuration
 //   shutting_down  -               -          -               -
 //
 //                  ready  accepts connections  accepts requests           closes idle connections
 //   ready          yes    yes                  yes                        no
 //   draining       no     yes                  yes                        yes
 //   drained        no     yes                  no: rejected immediately   yes
-//   returning      no     yes                  yes                        no
+//   resuming       no     yes                  yes                        no
 //   shutting_down  no     until listen_until_  until                      from close_idle_from_ on
 //                                              accept_requests_until_
 //
@@ -26,7 +26,7 @@
 
 class ServiceLifecycle {
  public:
-  enum class State { ready, draining, drained, returning, shutting_down };
+  enum class State { ready, draining, drained, resuming, shutting_down };
 
   void start_draining(Time now);
   void resume(Time now);
--- a/src/dispatch/timer_queue.h
+++ b/src/dispatch/timer_queue.h
@@ -14,8 +14,7 @@
 struct PolicyTimer {  // requested by the decision module
   std::uint64_t token = 0;
 };
-struct ResponseDeadline {  // abandons an attempt that is still running, so that the client is answered in
-                           // time
+struct ResponseDeadline {  // abandons an attempt that still runs, so that the client is answered in time
   policy::QueryId query{};
 };
 struct DeadlineWatchdog {  // fails a request that is still unanswered after its deadline
--- a/tests/node/service_test.cpp
+++ b/tests/node/service_test.cpp
@@ -18,12 +18,12 @@
   void step(int word, Time now, bool closing) {
     const auto enter = [&](State next) { state = next, since = now; };
     const bool sends_away = state == State::draining || state == State::drained;
-    if (word == 0 && (state == State::ready || state == State::returning)) enter(State::draining);
-    if (word == 1 && sends_away) enter(State::returning);
+    if (word == 0 && (state == State::ready || state == State::resuming)) enter(State::draining);
+    if (word == 1 && sends_away) enter(State::resuming);
     if (word == 2 && state != State::shutting_down) enter(State::shutting_down);
     if (word != 3) return;
     if (state == State::draining && now - since >= 1600ms) return enter(State::drained);
-    if (state == State::returning && (!closing || now - since >= 1s)) enter(State::ready);
+    if (state == State::resuming && (!closing || now - since >= 1s)) enter(State::ready);
   }
 };
 
