--- a/src/dispatch/client_responder.cpp
+++ b/src/dispatch/client_responder.cpp
@@ -35,12 +35,12 @@
   deps_.sessions.on_response_sent(deps_.clock.now(), probe.session);
 }
 
-void ClientResponder::send_quote(const RequestReceived& request, const queues::Quote& quote) {
+void ClientResponder::send_quote(const RequestReceived& request, const scheduler::Quote& quote) {
   deps_.clients.send_quote(request.session, request.call, quote);
   deps_.sessions.on_response_sent(deps_.clock.now(), request.session);
 }
 
-void ClientResponder::attach_quote(const RequestReceived& request, const queues::Quote& quote) {
+void ClientResponder::attach_quote(const RequestReceived& request, const scheduler::Quote& quote) {
   deps_.clients.attach_quote(request.session, request.call, quote);
 }
 
--- a/src/dispatch/client_responder.h
+++ b/src/dispatch/client_responder.h
@@ -35,8 +35,8 @@
   void fail(const RequestReceived& request, std::string_view cause);
   void fail(const BadRequest& bad);
   void send_readiness(const ProbeReceived& probe, bool ready);
-  void send_quote(const RequestReceived& request, const queues::Quote& quote);
-  void attach_quote(const RequestReceived& request, const queues::Quote& quote);
+  void send_quote(const RequestReceived& request, const scheduler::Quote& quote);
+  void attach_quote(const RequestReceived& request, const scheduler::Quote& quote);
 
   // Sends the result of the attempt, moves its rows and their memory reservation to the client, and closes
   // the call.
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -44,12 +44,12 @@
 
   // Applies the settings that a reload may change: weights, times and hints of the throttle; the same and
   // the teams of the scheduler.
-  void configure(Time now, const door::Settings& settings);
-  void configure(Time now, const queues::Settings& settings);
+  void configure(Time now, const throttle::Settings& settings);
+  void configure(Time now, const scheduler::Settings& settings);
   // For the operators; nullopt or nullptr if the stage is disabled.
-  std::optional<door::Figures> throttle_metrics() const { return stages_.throttle_metrics(); }
-  std::optional<queues::Figures> scheduler_metrics() const { return stages_.scheduler_metrics(); }
-  const queues::Queues* scheduler() const { return stages_.scheduler(); }
+  std::optional<throttle::Figures> throttle_metrics() const { return stages_.throttle_metrics(); }
+  std::optional<scheduler::Figures> scheduler_metrics() const { return stages_.scheduler_metrics(); }
+  const scheduler::Scheduler* scheduler() const { return stages_.scheduler(); }
 
   void handle(Time now, Event event);
   void tick(Time now);                                  // fires the timers that are due
--- a/src/dispatch/ports.h
+++ b/src/dispatch/ports.h
@@ -12,7 +12,7 @@
 #include "config/members.h"
 #include "dispatch/budget.h"
 #include "protocol/engine_messages.h"
-#include "queues/quote.h"
+#include "scheduler/quote.h"
 #include "yokestream/policy/admission_controller.h"
 
 namespace yokestream::dispatch {
@@ -112,8 +112,8 @@
   virtual void send_failure(SessionId session, CallId call, std::string_view cause) = 0;
   virtual void send_readiness(SessionId session, CallId call, bool ready) = 0;
   // Adds the quoted wait to the answer of an admitted request, in protocols that support it.
-  virtual void attach_quote(SessionId, CallId, const queues::Quote&) {}
-  virtual void send_quote(SessionId, CallId, const queues::Quote&) {}
+  virtual void attach_quote(SessionId, CallId, const scheduler::Quote&) {}
+  virtual void send_quote(SessionId, CallId, const scheduler::Quote&) {}
   virtual void close(SessionId session) = 0;  // is followed by a SessionClosed event
   // Like close(), but returns false and leaves the connection open if it has received data whose event was
   // not raised yet.
--- a/src/dispatch/request.h
+++ b/src/dispatch/request.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "dispatch/timer_queue.h"
-#include "door/outcome.h"
+#include "throttle/outcome.h"
 
 namespace yokestream::dispatch {
 
@@ -42,7 +42,7 @@
   TimerQueue::Handle watchdog_timer;
   Time submitted_at{};                                // to the decision module
   std::optional<policy::EngineSet> eligible_engines;  // as last reported to the decision module
-  door::Outcome stage_outcome;                        // reported to the admission stages at the end
+  throttle::Outcome stage_outcome;                    // reported to the admission stages at the end
 };
 
 }  // namespace yokestream::dispatch
--- a/src/dispatch/request_admission.cpp
+++ b/src/dispatch/request_admission.cpp
@@ -32,7 +32,7 @@
     return deps_.responder.reject(request, kOverloadedRetryAfter);
   apply_deadline_margin(request);
   const QueryId query = deps_.requests.next_query_id();
-  door::Verdict throttle_verdict;
+  throttle::Verdict throttle_verdict;
   if (deps_.stages.has_throttle() && reject_by_throttle(query, request, &throttle_verdict)) return;
   deps_.sessions.on_request_opened(deps_.clock.now(), request.session);
   Request entry;
@@ -43,7 +43,7 @@
   entry.received = std::move(request);
   entry.memory_reservation = std::move(memory);
   deps_.requests.insert(query, std::move(entry));
-  if (throttle_verdict.ruling == door::Ruling::pass) on_throttle_passed(query, throttle_verdict.cost);
+  if (throttle_verdict.ruling == throttle::Ruling::pass) on_throttle_passed(query, throttle_verdict.cost);
 }
 
 // Returns true if the request was answered, or its connection closed, without queueing it.
@@ -86,10 +86,10 @@
 }
 
 bool RequestAdmission::reject_by_throttle(QueryId query, const RequestReceived& request,
-                                          door::Verdict* throttle_verdict) {
+                                          throttle::Verdict* throttle_verdict) {
   *throttle_verdict = deps_.stages.offer_to_throttle(deps_.clock.now(), query, request,
                                                      deps_.sessions.origin(request.session));
-  if (throttle_verdict->ruling != door::Ruling::turn_away) return false;
+  if (throttle_verdict->ruling != throttle::Ruling::turn_away) return false;
   deps_.responder.reject(request, throttle_verdict->hint);
   return true;
 }
@@ -97,11 +97,12 @@
 void RequestAdmission::on_throttle_passed(QueryId query, double cost_s) {
   if (!deps_.stages.has_scheduler()) return submit_to_policy(query, cost_s);
   const RequestReceived& request = deps_.requests.at(query).received;
-  const queues::Verdict verdict = deps_.stages.offer_to_scheduler(deps_.clock.now(), query, request, cost_s);
-  if (verdict.ruling == queues::Ruling::turn_away)
+  const scheduler::Verdict verdict =
+      deps_.stages.offer_to_scheduler(deps_.clock.now(), query, request, cost_s);
+  if (verdict.ruling == scheduler::Ruling::turn_away)
     return deps_.responder.reject_unsubmitted(query, verdict.hint);
   deps_.responder.attach_quote(request, verdict.quote);
-  if (verdict.ruling == queues::Ruling::pass) submit_to_policy(query, verdict.cost);
+  if (verdict.ruling == scheduler::Ruling::pass) submit_to_policy(query, verdict.cost);
 }
 
 // `cost_s`: the stages' estimate in core seconds, corrected per tenant; 0 if there is none. It replaces the
@@ -140,7 +141,7 @@
 bool RequestAdmission::advance_throttle() {
   const auto moved = deps_.stages.next_from_throttle(deps_.clock.now());
   if (!moved) return false;
-  if (moved->verdict.ruling == door::Ruling::pass)
+  if (moved->verdict.ruling == throttle::Ruling::pass)
     on_throttle_passed(moved->query, moved->verdict.cost);
   else
     deps_.responder.reject_unsubmitted(moved->query, moved->verdict.hint);
@@ -150,7 +151,7 @@
 bool RequestAdmission::advance_scheduler() {
   const auto moved = deps_.stages.next_from_scheduler(deps_.clock.now());
   if (!moved) return false;
-  if (moved->verdict.ruling == queues::Ruling::pass)
+  if (moved->verdict.ruling == scheduler::Ruling::pass)
     submit_to_policy(moved->query, moved->verdict.cost);
   else
     deps_.responder.reject_unsubmitted(moved->query, moved->verdict.hint);
--- a/src/dispatch/request_admission.h
+++ b/src/dispatch/request_admission.h
@@ -47,7 +47,7 @@
  private:
   bool answer_immediately(const RequestReceived& request);
   bool reject_by_throttle(policy::QueryId query, const RequestReceived& request,
-                          door::Verdict* throttle_verdict);
+                          throttle::Verdict* throttle_verdict);
   void apply_deadline_margin(RequestReceived& request) const;
   void on_throttle_passed(policy::QueryId query, double cost_s);
   void submit_to_policy(policy::QueryId query, double cost_s);
