--- a/src/discovery/discovery_watcher.cpp
+++ b/src/discovery/discovery_watcher.cpp
@@ -33,7 +33,7 @@
       events_(events),
       log_(log),
       feed_(feed) {
-  thread_ = net::Thread("feed", net::kLargeStack, [this] { run(); });
+  thread_ = net::Thread("feed", net::kLargeStackBytes, [this] { run(); });
 }
 
 DiscoveryWatcher::~DiscoveryWatcher() {
@@ -93,7 +93,7 @@
 bool DiscoveryWatcher::subscribe(const config::Endpoint& feed, net::Socket& socket) {
   net::ConnectFailure failure;
   if (!socket.connect(feed, net::now() + kConnectTimeout, &failure)) {
-    log_.write("control feed connection failed: cause=\"" + failure.why + "\"");
+    log_.write("control feed connection failed: cause=\"" + failure.cause + "\"");
     return false;
   }
   const std::string subscription = protocol::encode_subscription(to_string(feed), kPath, last_event_);
--- a/src/net/client_reading.cpp
+++ b/src/net/client_reading.cpp
@@ -168,7 +168,7 @@
 bool ClientSession::start_reader() try {
   if (results_sent_ < kBusyClientResults || !reader_pool_.reader_slots.try_reserve(reader_reservation_, 1))
     return false;
-  thread_ = Thread("client-read", kSmallStack, [this] {
+  thread_ = Thread("client-read", kSmallStackBytes, [this] {
     bool is_idle = false;
     try {
       is_idle = run_reader();
--- a/src/net/coordination_thread.cpp
+++ b/src/net/coordination_thread.cpp
@@ -41,7 +41,7 @@
       wakeup_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
   if (!wakeup_)
     throw std::system_error(errno, std::generic_category(), "cannot start the coordination thread");
-  thread_ = Thread("fleet", kLargeStack, [this] { run(); });
+  thread_ = Thread("fleet", kLargeStackBytes, [this] { run(); });
 }
 
 CoordinationThread::~CoordinationThread() {
@@ -52,17 +52,17 @@
   thread_.join();
 }
 
-void CoordinationThread::applied(std::int64_t epoch) {
+void CoordinationThread::acknowledge_load_shares(std::int64_t epoch) {
   applied_shares_epoch_ = epoch;
   raise_event(wakeup_);
 }
 
-void CoordinationThread::routed(std::int64_t epoch) {
+void CoordinationThread::acknowledge_routes(std::int64_t epoch) {
   applied_routes_epoch_ = epoch;
   raise_event(wakeup_);
 }
 
-void CoordinationThread::tally(const routing::OutcomeTallies& tallies) {
+void CoordinationThread::set_outcome_tallies(const routing::OutcomeTallies& tallies) {
   const std::lock_guard lock(tallies_mutex_);
   tallies_ = tallies;
 }
@@ -78,7 +78,7 @@
   while (!stopping_ && !member_.has_left()) {
     const Time time = now();
     if (leaving_ && !std::exchange(leave_requested, true)) member_.begin_leaving();
-    read_core_progress();
+    read_dispatcher_progress();
     sample_traffic(time);
     post_load_grant();
     if (migration_task_) post_routes();
@@ -94,7 +94,7 @@
   }
 }
 
-void CoordinationThread::read_core_progress() {
+void CoordinationThread::read_dispatcher_progress() {
   member_.acknowledge(applied_shares_epoch_);
   if (!migration_task_) return;
   member_.acknowledge(*migration_task_, applied_routes_epoch_);
--- a/src/net/coordination_thread.h
+++ b/src/net/coordination_thread.h
@@ -3,7 +3,7 @@
 //
 // Only where the operator file switches `fleet` on. The public functions may be called from any thread; all
 // private state is the coordination thread's, unless said otherwise. Memory: FleetMember's and one reply.
-// Descriptors: at most kDescriptors (a call, two watches, an event, one spare). A store that is slow or
+// Descriptors: at most kMaxDescriptors (a call, two watches, an event, one spare). A store that is slow or
 // unavailable delays this thread alone.
 #pragma once
 
@@ -24,16 +24,16 @@
 
 class CoordinationThread {
  public:
-  static constexpr std::size_t kDescriptors = 5;
+  static constexpr std::size_t kMaxDescriptors = 5;
 
   // Throws std::system_error.
   CoordinationThread(const config::Config& config, DispatcherQueue& inbox, dispatch::Log& log);
   ~CoordinationThread();  // stops at once; a lease that leave() has not revoked expires by itself
 
-  void arrived() { ++arrivals_; }                      // counts one request of this process's traffic
-  void applied(std::int64_t epoch);                    // the core acts on this load share table
-  void routed(std::int64_t epoch);                     // the core conforms to this routing table
-  void tally(const routing::OutcomeTallies& tallies);  // outcomes that the core counted
+  void count_arrival() { ++arrivals_; }              // counts one request of this process's traffic
+  void acknowledge_load_shares(std::int64_t epoch);  // the core acts on this load share table
+  void acknowledge_routes(std::int64_t epoch);       // the core conforms to this routing table
+  void set_outcome_tallies(const routing::OutcomeTallies& tallies);  // outcomes that the core counted
   void leave();  // resigns and revokes the lease, if the store replies in time
 
  private:
@@ -43,7 +43,7 @@
   void wait(Time until);
   void post_load_grant();
   void post_routes();
-  void read_core_progress();
+  void read_dispatcher_progress();
   void log_changes();
   void sample_traffic(Time now);
 
--- a/src/net/dispatcher_loop.cpp
+++ b/src/net/dispatcher_loop.cpp
@@ -46,7 +46,7 @@
 
 DispatcherLoop::DispatcherLoop(const Components& components)
     : components_(components), dispatcher_(components.dispatcher) {
-  thread_ = Thread("dispatcher", kLargeStack, [this] { run(); });
+  thread_ = Thread("dispatcher", kLargeStackBytes, [this] { run(); });
 }
 
 bool DispatcherLoop::has_finished(Time now) const {
@@ -105,7 +105,7 @@
   components_.admin->publish(serving_state(dispatcher_.lifecycle()));
 }
 
-void DispatcherLoop::handle(DriverEvent event) {
+void DispatcherLoop::handle(LoopEvent event) {
   if (auto* accepted = std::get_if<ClientAccepted>(&event)) {
     components_.client_port.add(accepted->id, std::move(accepted->session));
     dispatcher_.handle(now(), dispatch::SessionOpened{accepted->id, accepted->origin});
--- a/src/net/dispatcher_loop.h
+++ b/src/net/dispatcher_loop.h
@@ -47,7 +47,7 @@
   void run();
   [[nodiscard]] bool has_finished(Time now) const;
   void run_iteration();
-  void handle(DriverEvent event);
+  void handle(LoopEvent event);
   void handle(dispatch::Event event);
   void prepare_shutdown(dispatch::BeginShutdown& event);
   void apply_operator_requests();
--- a/src/net/engine_connection.cpp
+++ b/src/net/engine_connection.cpp
@@ -109,17 +109,17 @@
     handle_bytes({bytes.data(), *size});
   }
   if (now < response_deadline_) return PollResult::wait_readable;
-  failure_.why = "incomplete response timed out";
+  failure_.cause = "incomplete response timed out";
   return PollResult::closed;
 } catch (const std::exception& problem) {
-  failure_.why = problem.what();
+  failure_.cause = problem.what();
   return PollResult::closed;
 }
 
 void EngineConnection::on_closed() {
   abort();
   inbox_.post(
-      dispatch::Event(dispatch::EngineDisconnected{id_, failure_.why, !connected_ && failure_.local}));
+      dispatch::Event(dispatch::EngineDisconnected{id_, failure_.cause, !connected_ && failure_.local}));
 }
 
 }  // namespace yokestream::net
--- a/src/net/events.h
+++ b/src/net/events.h
@@ -38,9 +38,9 @@
   Time valid_until{};
 };
 
-using DriverEvent =
+using LoopEvent =
     std::variant<dispatch::Event, ClientAccepted, ConfigurationReloaded, LoadGrantChanged, RoutesChanged>;
 // Any thread posts, the dispatcher's takes.
-using DispatcherQueue = EventQueue<DriverEvent>;
+using DispatcherQueue = EventQueue<LoopEvent>;
 
 }  // namespace yokestream::net
--- a/src/net/fleet_state_applier.cpp
+++ b/src/net/fleet_state_applier.cpp
@@ -26,7 +26,7 @@
   if (share > 0 && std::exchange(applied_share_, share) != share)
     dispatcher_.set_manager_count(static_cast<double>(coordination::kFullLoad) / static_cast<double>(share));
   if (std::exchange(acknowledged_grant_epoch_, grant_.epoch) != grant_.epoch)
-    coordination_.applied(grant_.epoch);
+    coordination_.acknowledge_load_shares(grant_.epoch);
 }
 
 // An epoch is acknowledged only when no attempt that it forbids is in flight any more.
@@ -34,13 +34,13 @@
   const std::int64_t epoch = dispatcher_.routes_epoch();
   if (acknowledged_routes_epoch_ == epoch || !dispatcher_.conforms_to_routes()) return;
   acknowledged_routes_epoch_ = epoch;
-  coordination_.routed(epoch);
+  coordination_.acknowledge_routes(epoch);
 }
 
 void FleetStateApplier::report_outcomes() {
   if (dispatcher_.tallies().empty() || now() < next_report_) return;
   next_report_ = now() + kReportInterval;
-  coordination_.tally(dispatcher_.tallies());
+  coordination_.set_outcome_tallies(dispatcher_.tallies());
 }
 
 }  // namespace yokestream::net
--- a/src/net/fleet_state_applier.h
+++ b/src/net/fleet_state_applier.h
@@ -21,7 +21,7 @@
 
   void on_load_grant_changed(const LoadGrantChanged& event) { grant_ = event.grant; }
   void on_routes_changed(const RoutesChanged& event);
-  void on_request_received() { coordination_.arrived(); }
+  void on_request_received() { coordination_.count_arrival(); }
   void begin_shutdown() { coordination_.leave(); }
 
   // Once each iteration of the dispatcher's loop: what has come into effect, or lapsed, by now.
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -40,7 +40,7 @@
       log_(log) {
   if (!stop_event_ || ::fcntl(fd_.get(), F_SETFL, O_NONBLOCK) != 0)
     throw std::system_error(errno, std::generic_category(), "cannot wait for clients");
-  thread_ = Thread("listener", kSmallStack, [this] { run(); });
+  thread_ = Thread("listener", kSmallStackBytes, [this] { run(); });
 }
 
 Listener::~Listener() { raise_event(stop_event_); }
--- a/src/net/poller.cpp
+++ b/src/net/poller.cpp
@@ -26,7 +26,7 @@
   event.data.u64 = kWakeToken;
   if (!epoll_ || !wake_event_ || ::epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, wake_event_.get(), &event) != 0)
     throw std::system_error(errno, std::generic_category(), "cannot wait for connections");
-  thread_ = Thread(thread_name, kSmallStack, [this] { run(); });
+  thread_ = Thread(thread_name, kSmallStackBytes, [this] { run(); });
 }
 
 Poller::~Poller() {
--- a/src/net/session_reaper.cpp
+++ b/src/net/session_reaper.cpp
@@ -6,7 +6,7 @@
 namespace yokestream::net {
 
 SessionReaper::SessionReaper() : retired_(std::numeric_limits<std::size_t>::max()) {
-  thread_ = Thread("session-reaper", kSmallStack, [this] {
+  thread_ = Thread("session-reaper", kSmallStackBytes, [this] {
     while (retired_.pop()) {
       // What was taken is destroyed here.
     }
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -36,7 +36,7 @@
 // Why a connect failed. `local`: this machine had no descriptor, port, buffer or route for it just then,
 // which says nothing about the peer, and nothing was sent.
 struct ConnectFailure {
-  std::string why;
+  std::string cause;
   bool local = false;
 };
 
--- a/src/net/thread.h
+++ b/src/net/thread.h
@@ -12,11 +12,11 @@
 
 // Not measured yet; sanitizers need several times as much.
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
-constexpr std::size_t kSmallStack = 1024 * 1024;
-constexpr std::size_t kLargeStack = 4 * 1024 * 1024;
+constexpr std::size_t kSmallStackBytes = 1024 * 1024;
+constexpr std::size_t kLargeStackBytes = 4 * 1024 * 1024;
 #else
-constexpr std::size_t kSmallStack = 64 * 1024;   // readers and writers
-constexpr std::size_t kLargeStack = 512 * 1024;  // the core, and what parses JSON
+constexpr std::size_t kSmallStackBytes = 64 * 1024;   // readers and writers
+constexpr std::size_t kLargeStackBytes = 512 * 1024;  // the core, and what parses JSON
 #endif
 
 class Thread {
--- a/src/standin/link.cpp
+++ b/src/standin/link.cpp
@@ -31,7 +31,7 @@
       listener_(net::listen_on({"127.0.0.1", 0})),
       news_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)),
       endpoint_(net::local_endpoint(listener_)) {
-  thread_ = net::Thread("link", net::kLargeStack, [this] { run(); });
+  thread_ = net::Thread("link", net::kLargeStackBytes, [this] { run(); });
 }
 
 Link::~Link() {
--- a/src/standin/store_server.cpp
+++ b/src/standin/store_server.cpp
@@ -27,8 +27,8 @@
                   [this, kind](const auto& asked, auto& response) { post(asked, response, kind); });
   server_->Post("/v3/watch", [this](const auto& asked, auto& response) { watch(asked, response); });
   endpoint_ = {"127.0.0.1", static_cast<std::uint16_t>(server_->bind_to_any_port("127.0.0.1"))};
-  listener_ = net::Thread("store", net::kLargeStack, [this] { server_->listen_after_bind(); });
-  clock_ = net::Thread("store-clock", net::kLargeStack, [this] {
+  listener_ = net::Thread("store", net::kLargeStackBytes, [this] { server_->listen_after_bind(); });
+  clock_ = net::Thread("store-clock", net::kLargeStackBytes, [this] {
     std::unique_lock lock(mutex_);
     while (!over_) {
       model_.expire(net::now());
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -99,7 +99,7 @@
   net::Socket* reusable = connection_.get();
   if (reusable && !reusable->try_read(&unexpected, 1)) return reusable;
   net::Socket* fresh = connection_.renew();
-  failure->why = "client stopped";
+  failure->cause = "client stopped";
   return fresh && fresh->connect(endpoints_.current(), deadline, failure) ? fresh : nullptr;
 }
 
@@ -110,7 +110,7 @@
   if (!socket) {
     connection_.drop();
     endpoints_.record_failure(net::now());
-    return Failed{failure.why, false};
+    return Failed{failure.cause, false};
   }
   const GatewayCall call = encode(request);
   const std::string bytes = serialize_http_request(call, endpoints_.current());
--- a/src/upgrade/snapshot_handover.cpp
+++ b/src/upgrade/snapshot_handover.cpp
@@ -77,7 +77,7 @@
       temporary_path_(path_ + "-" + std::to_string(slot)),
       names_(names),
       offers_(1) {
-  thread_ = net::Thread("hand-over", net::kSmallStack, [this] {
+  thread_ = net::Thread("hand-over", net::kSmallStackBytes, [this] {
     while (auto offer = offers_.pop())
       replace_file(snapshot::encode(std::move(offer->state), names_, offer->taken_at));
   });
--- a/tests/node/net_feed_test.cpp
+++ b/tests/node/net_feed_test.cpp
@@ -19,7 +19,7 @@
   return text.replace(text.find("\"up\""), 4, "\"" + std::string(state) + "\"");
 }
 
-int number_of(const net::DriverEvent& event) {
+int number_of(const net::LoopEvent& event) {
   return static_cast<int>(
       std::get<dispatch::EngineListChanged>(std::get<dispatch::Event>(event)).event.number);
 }
@@ -46,7 +46,7 @@
   std::optional<Peer> next;
   Fd accepted;
   std::atomic<bool> came{false};
-  net::Thread accepting("accepting", net::kSmallStack, [&] {
+  net::Thread accepting("accepting", net::kSmallStackBytes, [&] {
     accepted = Fd(::accept(second.fd.get(), nullptr, nullptr));
     came = true;
   });
--- a/tests/node/net_fickle.h
+++ b/tests/node/net_fickle.h
@@ -39,7 +39,7 @@
  public:
   explicit Fickle(std::uint32_t seed, bool steady = false, Duration takes = {})
       : steady_(steady), takes_(takes), steps_(seed), over_(::eventfd(0, EFD_CLOEXEC)) {
-    thread_ = net::Thread("fickle", net::kLargeStack, [this] { run(); });
+    thread_ = net::Thread("fickle", net::kLargeStackBytes, [this] { run(); });
   }
   ~Fickle() {
     const std::uint64_t one = 1;
--- a/tests/node/store_test.cpp
+++ b/tests/node/store_test.cpp
@@ -173,7 +173,7 @@
 // Expected: the call returns at once instead of at its deadline of a minute.
 TEST_CASE_FIXTURE(StoreOverLink, "stop() ends the call in progress and fails all later ones") {
   link.back(Link::Way::lose);
-  net::Thread stopper("stopper", net::kLargeStack, [&] {
+  net::Thread stopper("stopper", net::kLargeStackBytes, [&] {
     server.wait([](auto& model) { return !model.range({"a/k", {}, 0}).empty(); });
     client.stop();
   });
--- a/tests/processes/crowd.cpp
+++ b/tests/processes/crowd.cpp
@@ -20,7 +20,7 @@
 Crowd::Crowd(const config::Endpoint& manager, int clients, Asks asks)
     : manager_(manager), asks_(std::move(asks)) {
   for (int i = asks_.first; i < asks_.first + clients; ++i)
-    threads_.push_back(std::make_unique<net::Thread>("crowd", net::kLargeStack, [this, i] { run(i); }));
+    threads_.push_back(std::make_unique<net::Thread>("crowd", net::kLargeStackBytes, [this, i] { run(i); }));
 }
 
 void Crowd::finish() {
