--- a/src/net/accept_gate.cpp
+++ b/src/net/accept_gate.cpp
@@ -8,7 +8,8 @@
 namespace yokestream::net {
 
 AcceptGate::AcceptGate() : opened_event_(::eventfd(0, EFD_CLOEXEC)) {
-  if (!opened_event_) throw std::system_error(errno, std::generic_category(), "cannot wait for clients");
+  if (!opened_event_)
+    throw std::system_error(errno, std::generic_category(), "cannot create the accept gate's eventfd");
 }
 
 void AcceptGate::open() {
--- a/src/net/accept_gate.h
+++ b/src/net/accept_gate.h
@@ -1,5 +1,5 @@
-// Holds back the listener until this process is to serve clients. Closed until it is opened, once, by any
-// thread.
+// Delays the listener's accept() calls until this process is to serve clients. The gate starts closed; any
+// thread may open it, and it stays open.
 #pragma once
 
 #include <atomic>
@@ -13,7 +13,7 @@
   AcceptGate();  // throws std::system_error
   void open();
   [[nodiscard]] bool is_open() const { return open_; }
-  // Readable once the gate is open, for a thread that waits on descriptors.
+  // An eventfd that becomes readable when the gate opens, for use with poll().
   [[nodiscard]] const Fd& opened_event() const { return opened_event_; }
 
  private:
--- a/src/net/client_call.h
+++ b/src/net/client_call.h
@@ -1,5 +1,5 @@
-// Decodes a client's message into an event of the core: fields validated, names looked up, the deadline
-// absolute. Pure: no I/O, no clock. An invalid field makes the event a BadRequest with its cause.
+// Converts a client's message into a dispatcher event: validates its fields, resolves names to ids and makes
+// the deadline absolute. Does no I/O and reads no clock. An invalid field yields a BadRequest with the cause.
 #pragma once
 
 #include "config/settings.h"
@@ -10,6 +10,6 @@
 namespace yokestream::net {
 
 dispatch::Event to_event(dispatch::SessionId session, protocol::ClientMessage message, Time arrived,
-                         const config::RealSettings& names);
+                         const config::RealSettings& settings);
 
 }  // namespace yokestream::net
--- a/src/net/client_port_adapter.cpp
+++ b/src/net/client_port_adapter.cpp
@@ -50,7 +50,7 @@
 }
 
 void ClientPortAdapter::close(dispatch::SessionId id) {
-  if (auto* session = find(id)) session->abort("closed by the core");
+  if (auto* session = find(id)) session->abort("closed by the dispatcher");
 }
 
 bool ClientPortAdapter::close_if_idle(dispatch::SessionId id) {
--- a/src/net/client_port_adapter.h
+++ b/src/net/client_port_adapter.h
@@ -1,7 +1,7 @@
-// The dispatcher's port to clients: owns the client connections that the dispatcher knows of, and forwards
-// its actions to them. A session that has ended meanwhile is skipped.
+// Implements the dispatcher's port to clients on sockets: owns the client sessions that the dispatcher has
+// been told of and forwards its actions to them. Actions on a session that has ended are ignored.
 //
-// The dispatcher's thread only.
+// Used by the dispatcher's thread only.
 #pragma once
 
 #include <map>
@@ -19,12 +19,12 @@
   explicit ClientPortAdapter(const config::RealSettings& settings) : settings_(settings) {}
 
   void add(dispatch::SessionId id, std::shared_ptr<ClientSession> session);
-  // The session, which is forgotten here; nullptr: there is none.
+  // Removes the session and returns it; nullptr if there is none.
   std::shared_ptr<ClientSession> remove(dispatch::SessionId id);
-  // Returns nullptr where there is none; valid until remove() or clear().
+  // Returns nullptr if there is no such session. The pointer is valid until remove() or clear().
   ClientSession* find(dispatch::SessionId id);
   [[nodiscard]] bool empty() const { return sessions_.empty(); }
-  // Sessions that are owed nothing end once what is queued has been written.
+  // Closes the sessions without unprocessed messages, each after its queued responses have been written.
   void finish_settled_sessions();
   void clear() { sessions_.clear(); }
 
--- a/src/net/client_session.cpp
+++ b/src/net/client_session.cpp
@@ -3,10 +3,11 @@
 namespace yokestream::net {
 namespace {
 
-constexpr std::size_t kMaxQueuedBytes =
-    256 * 1024;  // results count little: their memory is reserved in the budget
-constexpr std::size_t kMaxUnhandledMessages = 16;  // of one client, on their way to the core
-// For a client that has had no result yet; 32 requests may be open, and each may be cancelled.
+// Bounds the queued responses of one client, except for results, which the memory budget bounds.
+constexpr std::size_t kMaxQueuedBytes = 256 * 1024;
+// Bounds the messages of one client that are posted and not yet handled by the dispatcher.
+constexpr std::size_t kMaxUnhandledMessages = 16;
+// The rate limit of a client without a result: a client may have 32 open requests and cancel each of them.
 constexpr int kBurstMessages = 64;
 constexpr Duration kMessageInterval = std::chrono::milliseconds(20);
 
@@ -23,13 +24,13 @@
 }  // namespace
 
 ClientSession::ClientSession(dispatch::SessionId id, Fd fd, dispatch::Reservation connection_slot,
-                             const config::RealSettings& settings, dispatch::Budget& budget,
-                             DispatcherQueue& inbox, ReaderPool& reader_pool, dispatch::Log& log)
+                             const config::RealSettings& settings, dispatch::Budget& memory_budget,
+                             DispatcherQueue& event_queue, ReaderPool& reader_pool, dispatch::Log& log)
     : id_(id),
       connection_slot_(std::move(connection_slot)),
       settings_(settings),
-      budget_(budget),
-      inbox_(inbox),
+      memory_budget_(memory_budget),
+      event_queue_(event_queue),
       reader_pool_(reader_pool),
       log_(log),
       socket_(std::move(fd)),
@@ -45,8 +46,8 @@
 
 ClientSession::~ClientSession() { abort("session destroyed"); }
 
-// Failure: a close cuts off a response. Symptom: the client never gets it, and nothing says why. Guard: the
-// first abort logs its cause.
+// Failure: an abort drops an unwritten response. Symptom: the client never receives it, and no log line tells
+// why. Guard: the first abort logs its cause.
 void ClientSession::abort(const char* cause) {
   if (!socket_.aborted_locally() && !sender_.is_idle())
     log_.write(std::string("client connection aborted with unwritten responses: cause=\"") + cause + "\"");
@@ -55,10 +56,10 @@
   socket_.abort();
 }
 
-// Failure: a connection is closed as idle while a request in it is unread or a response unwritten. Symptom:
-// the request finds no answer. Guard: both are checked, and no read comes between check and abort.
+// Failure: a connection is closed as idle while it holds an unread request or an unwritten response. Symptom:
+// the request gets no response. Guard: both are checked, and nothing is read between check and abort.
 bool ClientSession::abort_if_idle() {
-  // Checked in the order in which a message passes; only this thread adds responses.
+  // The checks follow a message's path: socket, decoder, event queue. Only this thread adds responses.
   if (!sender_.is_idle() ||
       !socket_.abort_if_nothing_unread([this] { return !has_unposted_bytes_ && !credits_.in_use(); }))
     return false;
@@ -70,12 +71,12 @@
   if (!has_unposted_bytes_ && !credits_.in_use()) close_after_writes();
 }
 
-// Failure: a client does not read. Symptom: its responses fill the memory. Guard: at the bound its connection
-// is aborted.
+// Failure: a client does not read its responses. Symptom: they use up the memory. Guard: its connection is
+// aborted when its queue is full.
 void ClientSession::enqueue(std::string bytes, dispatch::Reservation memory_reservation,
                             std::size_t counted_bytes) {
   if (!sender_.add(Item{std::move(bytes), std::move(memory_reservation)}, counted_bytes))
-    abort("responses are not read");
+    abort("client does not read its responses");
 }
 
 void ClientSession::enqueue_bytes(std::string bytes) {
@@ -94,7 +95,7 @@
           sizeof(Item));
 }
 
-// Nothing reports the end of a cancelled call here, so the oldest quotes are dropped.
+// The session is not told when a cancelled call ends, so the oldest quotes are dropped.
 void ClientSession::attach_quote(dispatch::CallId call, const queues::Quote& quote) {
   attached_quotes_[call] = quote;
   if (attached_quotes_.size() > kMaxAttachedQuotes) attached_quotes_.erase(attached_quotes_.begin());
@@ -124,7 +125,7 @@
 void ClientSession::on_closed() {
   const char* cause = socket_.aborted_locally() ? "aborted locally" : close_cause_;
   abort(cause);
-  inbox_.post(dispatch::Event(dispatch::SessionClosed{id_, cause}));
+  event_queue_.post(dispatch::Event(dispatch::SessionClosed{id_, cause}));
 }
 
 }  // namespace yokestream::net
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -1,4 +1,4 @@
-// The one clock of the program: steady, and set against the system's Unix clock.
+// The clock of the program: the steady clock, and conversions from the system's Unix time.
 #pragma once
 
 #include <algorithm>
@@ -18,15 +18,16 @@
   return std::chrono::steady_clock::time_point(
       std::chrono::duration_cast<std::chrono::steady_clock::duration>(time.time_since_epoch()));
 }
-// For the waits of poll() and epoll: never short of `due`, a minute at most; -1 where there is none.
+// The timeout for poll() and epoll_wait(): rounded up so that the wait does not end before `due`, and at most
+// a minute. -1 (no timeout) if `due` is Time::max().
 inline int milliseconds_until(Time due) {
   if (due == Time::max()) return -1;
-  const auto left = std::chrono::ceil<std::chrono::milliseconds>(due - now()).count();
-  return static_cast<int>(std::clamp<std::int64_t>(left, 0, 60'000));
+  const auto remaining_ms = std::chrono::ceil<std::chrono::milliseconds>(due - now()).count();
+  return static_cast<int>(std::clamp<std::int64_t>(remaining_ms, 0, 60'000));
 }
 inline Time from_unix_ms(std::int64_t ms) {
-  const auto ago = std::chrono::system_clock::now().time_since_epoch() - std::chrono::milliseconds(ms);
-  return now() - std::chrono::duration_cast<Duration>(ago);
+  const auto age = std::chrono::system_clock::now().time_since_epoch() - std::chrono::milliseconds(ms);
+  return now() - std::chrono::duration_cast<Duration>(age);
 }
 
 }  // namespace yokestream::net
--- a/src/net/coordination_thread.cpp
+++ b/src/net/coordination_thread.cpp
@@ -14,9 +14,9 @@
 using coordination::FleetMember;
 
 constexpr Duration kTrafficSampleInterval = std::chrono::seconds(1);
-constexpr double kTrafficSampleWeight = 0.1;  // of one sample in the moving average
+constexpr double kTrafficSampleWeight = 0.1;  // of a new sample in the exponential moving average
 
-// After a request's deadline, until the engine has confirmed the stop of its last attempt.
+// An engine confirms within this time after a request's deadline that the last attempt has been stopped.
 constexpr Duration kStopConfirmationTime = std::chrono::milliseconds(1000);
 
 std::optional<migration::MigrationTask> make_migration_task(const config::Config& config) {
@@ -27,9 +27,9 @@
 
 }  // namespace
 
-CoordinationThread::CoordinationThread(const config::Config& config, DispatcherQueue& inbox,
+CoordinationThread::CoordinationThread(const config::Config& config, DispatcherQueue& event_queue,
                                        dispatch::Log& log)
-    : inbox_(inbox),
+    : event_queue_(event_queue),
       log_(log),
       migration_task_(make_migration_task(config)),
       member_(config.fleet, config.name, "1", config.settings.manager_count, now(),
@@ -72,7 +72,8 @@
   raise_event(wakeup_);
 }
 
-// After leave() it resigns and revokes its lease, as far as the store replies before the end.
+// After leave() the loop runs until the member has resigned and revoked its lease, or the destructor stops
+// it.
 void CoordinationThread::run() {
   bool leave_requested = false;
   while (!stopping_ && !member_.has_left()) {
@@ -121,10 +122,11 @@
   const auto grant = member_.load_grant();
   if (grant == posted_grant_) return;
   posted_grant_ = grant;
-  inbox_.post(LoadGrantChanged{grant});
+  event_queue_.post(LoadGrantChanged{grant});
 }
 
-// Routes are valid as long as this session: without a renewal the core closes the areas by itself.
+// Routes expire with this process's session in the store: without a renewal the dispatcher stops sending
+// requests of movable areas.
 void CoordinationThread::post_routes() {
   const auto& table = migration_task_->routing_table();
   const std::int64_t epoch = table ? table->epoch : -1;
@@ -132,7 +134,7 @@
   if (epoch == posted_routes_epoch_ && until == posted_routes_expiry_) return;
   posted_routes_epoch_ = epoch;
   posted_routes_expiry_ = until;
-  inbox_.post(RoutesChanged{table, until});
+  event_queue_.post(RoutesChanged{table, until});
 }
 
 void CoordinationThread::log_changes() {
@@ -149,7 +151,7 @@
     log_.write("fleet leadership lost: task=shares");
 }
 
-// Closes the watches that ended or whose key is no longer desired, and opens the missing ones.
+// Closes watches that have ended or whose key is no longer desired, and opens those that are missing.
 void CoordinationThread::maintain_watches(Time now) {
   for (std::size_t i = 0; i < watchers_.size(); ++i) {
     const auto slot = static_cast<FleetMember::WatchSlot>(i);
--- a/src/net/coordination_thread.h
+++ b/src/net/coordination_thread.h
@@ -1,10 +1,11 @@
-// The thread that coordinates this process with its fleet: sends the requests of coordination::FleetMember to
-// the store, reads its watches, and posts to the core the granted load share and the routing table.
+// The thread that coordinates this process with its fleet. It sends the requests of coordination::FleetMember
+// to the store, reads the store's watches, and posts the granted load share and the routing table to the
+// dispatcher.
 //
-// Only where the operator file switches `fleet` on. The public functions may be called from any thread; all
-// private state is the coordination thread's, unless said otherwise. Memory: FleetMember's and one reply.
+// Runs only if the operator file enables `fleet`. Any thread may call the public functions; the private state
+// belongs to the coordination thread unless stated otherwise. Memory: that of FleetMember and one reply.
 // Descriptors: at most kMaxDescriptors (a call, two watches, an event, one spare). A store that is slow or
-// unavailable delays this thread alone.
+// unavailable delays only this thread.
 #pragma once
 
 #include <array>
@@ -27,14 +28,16 @@
   static constexpr std::size_t kMaxDescriptors = 5;
 
   // Throws std::system_error.
-  CoordinationThread(const config::Config& config, DispatcherQueue& inbox, dispatch::Log& log);
-  ~CoordinationThread();  // stops at once; a lease that leave() has not revoked expires by itself
+  CoordinationThread(const config::Config& config, DispatcherQueue& event_queue, dispatch::Log& log);
+  // Stops the thread at once. A lease that leave() has not revoked expires by itself.
+  ~CoordinationThread();
 
-  void count_arrival() { ++arrivals_; }              // counts one request of this process's traffic
-  void acknowledge_load_shares(std::int64_t epoch);  // the core acts on this load share table
-  void acknowledge_routes(std::int64_t epoch);       // the core conforms to this routing table
-  void set_outcome_tallies(const routing::OutcomeTallies& tallies);  // outcomes that the core counted
-  void leave();  // resigns and revokes the lease, if the store replies in time
+  void count_arrival() { ++arrivals_; }              // a request of this process's own traffic
+  void acknowledge_load_shares(std::int64_t epoch);  // the dispatcher applies the load shares of this epoch
+  void acknowledge_routes(std::int64_t epoch);       // the dispatcher conforms to the routes of this epoch
+  void set_outcome_tallies(const routing::OutcomeTallies& tallies);  // as counted by the dispatcher
+  // Resigns the leadership and revokes the lease, if the store replies before this object is destroyed.
+  void leave();
 
  private:
   void run();
@@ -47,9 +50,9 @@
   void log_changes();
   void sample_traffic(Time now);
 
-  DispatcherQueue& inbox_;
+  DispatcherQueue& event_queue_;
   dispatch::Log& log_;
-  std::optional<migration::MigrationTask> migration_task_;  // where areas may migrate
+  std::optional<migration::MigrationTask> migration_task_;  // if areas may migrate
   coordination::FleetMember member_;
   const Duration call_timeout_;
   store::Client client_;
@@ -65,11 +68,11 @@
   std::atomic<std::int64_t> applied_shares_epoch_{-1}, applied_routes_epoch_{-1};
   std::mutex tallies_mutex_;  // guards tallies_
   routing::OutcomeTallies tallies_;
-  std::int64_t posted_routes_epoch_ = -2;  // -1: closed; -2: nothing posted yet
+  std::int64_t posted_routes_epoch_ = -2;  // -1: no routing table; -2: nothing posted yet
   Time posted_routes_expiry_{};
   std::atomic<bool> leaving_{false}, stopping_{false};
   Fd wakeup_;
-  Thread thread_;  // last: it uses all members above
+  Thread thread_;  // declared last: it uses the other members
 };
 
 }  // namespace yokestream::net
--- a/src/net/dispatcher_loop.cpp
+++ b/src/net/dispatcher_loop.cpp
@@ -12,14 +12,16 @@
 using admin::ServingState;
 using std::chrono::milliseconds;
 
-constexpr Duration kSlowIteration = milliseconds(40);
+constexpr Duration kSlowIterationThreshold = milliseconds(40);
 constexpr Duration kSlowLogInterval = std::chrono::seconds(1);
-// For answers that are still queued at the end, as writers may be without processor time for a moment: all
-// share a part of one core. It ends before the kill, 3.7 s after the request to shut down.
+// Time to write the responses that are still queued at the end of a shutdown. All threads share a part of one
+// processor core, so writers may get no processor time for a moment. The process must end before it is
+// killed, 3.7 s after the request to shut down.
 constexpr Duration kLastWriteTimeout = milliseconds(600);
-constexpr Duration kSettleInterval = milliseconds(10);  // between checks of sessions that are not settled
+// The interval of checks whether sessions with unprocessed messages can be closed.
+constexpr Duration kSettleCheckInterval = milliseconds(10);
 
-// The session whose message it is, if a client sent it.
+// Returns the session that sent the message, if the event is a client's message.
 std::optional<dispatch::SessionId> sender_of(const dispatch::Event& event) {
   return std::visit(
       [](const auto& e) -> std::optional<dispatch::SessionId> {
@@ -69,26 +71,26 @@
   close_sessions();
 }
 
-// Failure: many events come at once, as when an engine dies. Symptom: answers that fall due meanwhile are
-// late. Guard: what is due happens after each event.
+// Failure: many events arrive at once, for instance when an engine fails. Symptom: responses that become due
+// while they are handled are late. Guard: due timers run after each event.
 void DispatcherLoop::run_iteration() {
   auto events = components_.events.drain_until(dispatcher_.next_due());
-  const Time began = now();
+  const Time started_at = now();
   for (auto& event : events) {
     handle(std::move(event));
     dispatcher_.tick(now());
   }
   dispatcher_.tick(now());
-  log_if_slow(began, events.size());
+  log_if_slow(started_at, events.size());
 }
 
-// Answers are late when the loop falls behind. Logged once a second at most.
-void DispatcherLoop::log_if_slow(Time began, std::size_t event_count) {
-  const Time ended = now();
-  if (ended - began < kSlowIteration || ended < next_slow_log_) return;
-  next_slow_log_ = ended + kSlowLogInterval;
+// A loop that falls behind makes responses late. Logs at most one slow iteration in kSlowLogInterval.
+void DispatcherLoop::log_if_slow(Time started_at, std::size_t event_count) {
+  const Time ended_at = now();
+  if (ended_at - started_at < kSlowIterationThreshold || ended_at < next_slow_log_) return;
+  next_slow_log_ = ended_at + kSlowLogInterval;
   components_.log.write(
-      "dispatcher iteration slow: duration_ms=" + std::to_string((ended - began) / milliseconds(1)) +
+      "dispatcher iteration slow: duration_ms=" + std::to_string((ended_at - started_at) / milliseconds(1)) +
       " events=" + std::to_string(event_count) +
       " open_requests=" + std::to_string(dispatcher_.open_requests()));
 }
@@ -146,7 +148,7 @@
 }
 
 void DispatcherLoop::prepare_shutdown(dispatch::BeginShutdown& event) {
-  // No success of readyz from here on.
+  // readyz reports no success from here on.
   if (components_.admin) components_.admin->publish(ServingState::shutting_down);
   event = upgrade::shutdown_event(components_.settings,
                                   components_.upgrade && components_.upgrade->has_successor());
@@ -156,17 +158,17 @@
                                             : "shutdown begins: successor=no");
 }
 
-// In this order: no client is accepted any more; what has been read is answered, by now with a rejection;
-// what is queued is written; connections are half closed, so that none is reset upon its last answers. A
-// client that does not read its answers, or never stops asking, does not delay the end.
+// Stops accepting clients, answers the messages already read (by now with a rejection), writes the queued
+// responses, and then shuts down the write side of each connection, so that no connection is reset while its
+// last responses are on the way. Clients that do not read, or keep sending, do not delay the end.
 void DispatcherLoop::close_sessions() {
   if (components_.listener) components_.session_reaper.retire(std::move(components_.listener));
   const Time deadline = now() + kLastWriteTimeout;
-  bool first_pass = true;  // a connection accepted last may still be in the queue
+  bool first_pass = true;  // the queue may still hold the last accepted connection
   while ((first_pass || !components_.client_port.empty()) && now() < deadline) {
     first_pass = false;
     components_.client_port.finish_settled_sessions();
-    for (auto& event : components_.events.drain_until(std::min(deadline, now() + kSettleInterval)))
+    for (auto& event : components_.events.drain_until(std::min(deadline, now() + kSettleCheckInterval)))
       handle(std::move(event));
     dispatcher_.tick(now());
   }
--- a/src/net/dispatcher_loop.h
+++ b/src/net/dispatcher_loop.h
@@ -1,8 +1,8 @@
-// The thread that runs the dispatcher: it takes events from the queue, hands them in, and lets what is due
-// happen, until this process has shut down.
+// The thread that runs the dispatcher. Until this process has shut down, it takes events from the queue,
+// passes them to the dispatcher and runs the dispatcher's due timers.
 //
-// Threads: everything here and all that it refers to belongs to the loop's thread, but for what its own
-// header says otherwise. join() may be called by any one thread.
+// Threads: this class's state and all the components belong to the loop's thread, except where a component's
+// header says otherwise. One thread, any, may call join().
 #pragma once
 
 #include <memory>
@@ -24,7 +24,8 @@
 
 class DispatcherLoop {
  public:
-  // What the loop works on; all outlives it. Pointers: nullptr where the configuration leaves that part out.
+  // What the loop works on. All of it outlives the loop. A pointer is nullptr if the configuration disables
+  // that component.
   struct Components {
     const config::RealSettings& settings;
     dispatch::Log& log;
@@ -32,7 +33,7 @@
     dispatch::Dispatcher& dispatcher;
     ClientPortAdapter& client_port;
     EnginePortAdapter& engine_port;
-    std::unique_ptr<Listener>& listener;  // the loop retires it when the shutdown says so
+    std::unique_ptr<Listener>& listener;  // retired by the loop during a shutdown
     SessionReaper& session_reaper;
     discovery::DiscoveryWatcher& discovery;
     upgrade::UpgradeCoordinator* upgrade;
@@ -51,14 +52,14 @@
   void handle(dispatch::Event event);
   void prepare_shutdown(dispatch::BeginShutdown& event);
   void apply_operator_requests();
-  void log_if_slow(Time began, std::size_t event_count);
+  void log_if_slow(Time started_at, std::size_t event_count);
   void close_sessions();
 
   const Components components_;
   dispatch::Dispatcher& dispatcher_;
   Time next_slow_log_{};
-  bool draining_requested_ = false;  // the operators' request that has been applied
-  Thread thread_;                    // last: it uses the rest
+  bool draining_requested_ = false;  // the last applied request of the operators
+  Thread thread_;                    // declared last: it uses the other members
 };
 
 }  // namespace yokestream::net
--- a/src/net/engine_connection.cpp
+++ b/src/net/engine_connection.cpp
@@ -6,21 +6,21 @@
 namespace {
 
 constexpr std::size_t kReadBytes = 8 * 1024;
-constexpr int kMaxReadsPerCall = 8;  // then other engines are read
+constexpr int kMaxReadsPerCall = 8;  // so that the poller's other engines are read in time
 constexpr std::size_t kMaxQueuedBytes = 1024 * 1024;
-constexpr std::size_t kRequestOverheadBytes = 256;  // of the fields around a statement
-// An engine sends a response in one piece; one that stops short is never completed.
+constexpr std::size_t kRequestOverheadBytes = 256;  // the size of a request's fields besides its statement
+// An engine sends a response in one piece. A response that stays incomplete this long is never completed.
 constexpr Duration kResponseTimeout = std::chrono::milliseconds(700);
 
 }  // namespace
 
 EngineConnection::EngineConnection(dispatch::EngineConnectionId id, const config::Endpoint& endpoint,
                                    Time connect_deadline, const std::vector<std::string>& report_fields,
-                                   DispatcherQueue& inbox, Poller& slow_writer_poller,
+                                   DispatcherQueue& event_queue, Poller& slow_writer_poller,
                                    figures::Figures& figures)
     : id_(id),
       connect_deadline_(connect_deadline),
-      inbox_(inbox),
+      event_queue_(event_queue),
       slow_writer_poller_(slow_writer_poller),
       connect_status_(socket_.start_connect(endpoint, &failure_)),
       reader_(report_fields),
@@ -48,7 +48,7 @@
 }
 
 void EngineConnection::enqueue(Item item, std::size_t bytes) {
-  if (!sender_.add(std::move(item), bytes)) abort();  // broken, or the engine does not read
+  if (!sender_.add(std::move(item), bytes)) abort();  // the connection is broken, or the engine does not read
 }
 
 void EngineConnection::send(dispatch::AttemptTag tag, EngineRequest request) {
@@ -67,7 +67,7 @@
   enqueue(Item{0, std::move(bytes)}, size);
 }
 
-// The core is notified before anything is sent, so that it learns of the connection before its responses.
+// Notifies the dispatcher before anything is sent, so that it learns of the connection before its responses.
 bool EngineConnection::complete_connect(bool is_ready) {
   if (connect_status_ == Socket::ConnectStatus::failed) return false;
   if (connect_status_ == Socket::ConnectStatus::pending &&
@@ -76,18 +76,18 @@
     return false;
   }
   connected_ = true;
-  inbox_.post(dispatch::Event(dispatch::EngineConnected{id_}));
+  event_queue_.post(dispatch::Event(dispatch::EngineConnected{id_}));
   sender_.open();
   return true;
 }
 
-// Failure: a response stops short. Symptom: its request and all behind it wait for ever. Guard: a response
-// that has begun must be complete by a deadline, else the connection is closed.
+// Failure: an engine stops in the middle of a response. Symptom: its request and all later ones on the
+// connection wait for ever. Guard: the connection is closed if a response is not complete by a deadline.
 void EngineConnection::handle_bytes(std::string_view bytes) {
   reader_.feed(bytes);
-  while (auto answer = reader_.next()) {
+  while (auto response = reader_.next()) {
     response_deadline_ = Time::max();
-    inbox_.post(dispatch::Event(dispatch::ResponseReceived{id_, std::move(*answer)}));
+    event_queue_.post(dispatch::Event(dispatch::ResponseReceived{id_, std::move(*response)}));
   }
   if (reader_.pending() == 0)
     response_deadline_ = Time::max();
@@ -111,14 +111,14 @@
   if (now < response_deadline_) return PollResult::wait_readable;
   failure_.cause = "incomplete response timed out";
   return PollResult::closed;
-} catch (const std::exception& problem) {
-  failure_.cause = problem.what();
+} catch (const std::exception& error) {
+  failure_.cause = error.what();
   return PollResult::closed;
 }
 
 void EngineConnection::on_closed() {
   abort();
-  inbox_.post(
+  event_queue_.post(
       dispatch::Event(dispatch::EngineDisconnected{id_, failure_.cause, !connected_ && failure_.local}));
 }
 
--- a/src/net/engine_connection.h
+++ b/src/net/engine_connection.h
@@ -1,8 +1,8 @@
-// One connection to an engine (RESP).
+// A connection to an engine that speaks RESP.
 //
 // The engine poller's thread completes the connect and then decodes responses (poller.h). Requests are
 // written by the thread that sends them, and by the poller for slow writers while the engine is slow to read
-// (sender.h). Owned by the server; the pollers share ownership while it is registered with them.
+// (sender.h). EnginePortAdapter owns the connection; pollers share it while it is registered with them.
 #pragma once
 
 #include <memory>
@@ -20,19 +20,19 @@
 
 class EngineConnection : public Pollable, public std::enable_shared_from_this<EngineConnection> {
  public:
-  // Starts to connect, until `connect_deadline`. Never throws and never reports at once: the engine poller's
-  // calls report the outcome as an event.
+  // Starts a connect that times out at `connect_deadline`. Does not throw or report an outcome itself: that
+  // is posted as an event by the engine poller's calls.
   EngineConnection(dispatch::EngineConnectionId id, const config::Endpoint& endpoint, Time connect_deadline,
-                   const std::vector<std::string>& report_fields, DispatcherQueue& inbox,
+                   const std::vector<std::string>& report_fields, DispatcherQueue& event_queue,
                    Poller& slow_writer_poller, figures::Figures& figures);
   ~EngineConnection() override;  // aborts the connection
 
-  // For the core thread.
+  // For the dispatcher thread.
   void send(dispatch::AttemptTag tag, EngineRequest request);
-  // True: nothing of the request has been written, and nothing will be.
+  // Removes a request of which nothing has been written. False: some of it may have been written.
   bool withdraw(dispatch::AttemptTag tag);
   void send_command(std::string bytes);
-  void abort();  // any thread; nothing more is read or written
+  void abort();  // any thread; stops reading and writing
 
   // For the engine poller's thread.
   int descriptor() const override { return socket_.descriptor(); }
@@ -43,7 +43,7 @@
  private:
   struct Item {
     dispatch::AttemptTag tag = 0;
-    std::variant<EngineRequest, std::string> payload;  // a request is serialized when it is written
+    std::variant<EngineRequest, std::string> payload;  // a request is serialized only when it is written
   };
   static std::string serialize(const Item& item);
   void enqueue(Item item, std::size_t bytes);
@@ -52,16 +52,16 @@
 
   const dispatch::EngineConnectionId id_;
   const Time connect_deadline_;
-  DispatcherQueue& inbox_;
+  DispatcherQueue& event_queue_;
   Poller& slow_writer_poller_;
   Socket socket_;
-  // Engine poller thread only, once constructed. In this order: a connect that fails at once records its
-  // failure.
+  // Used only by the engine poller's thread once constructed. failure_ is declared before connect_status_,
+  // whose initializer starts the connect and sets failure_ if that fails at once.
   ConnectFailure failure_{"closed or reset by the engine", false};
   Socket::ConnectStatus connect_status_;
   protocol::RespReader reader_;
   bool connected_ = false;
-  Time response_deadline_ = Time::max();  // by then a response that has begun must be complete
+  Time response_deadline_ = Time::max();  // by which an incomplete response must be complete
   Sender<Item> sender_;
 };
 
--- a/src/net/engine_port_adapter.cpp
+++ b/src/net/engine_port_adapter.cpp
@@ -7,11 +7,12 @@
 namespace yokestream::net {
 
 EnginePortAdapter::EnginePortAdapter(const config::RealSettings& settings, DispatcherQueue& events,
-                                     Poller& engine_poller, Poller& writer, dispatch::Dispatcher& dispatcher)
+                                     Poller& engine_poller, Poller& slow_writer_poller,
+                                     dispatch::Dispatcher& dispatcher)
     : settings_(settings),
       events_(events),
       engine_poller_(engine_poller),
-      writer_(writer),
+      slow_writer_poller_(slow_writer_poller),
       dispatcher_(dispatcher) {}
 
 EngineConnection* EnginePortAdapter::find(dispatch::EngineConnectionId id) {
@@ -25,8 +26,8 @@
 
 void EnginePortAdapter::connect(dispatch::EngineConnectionId id, const config::Endpoint& endpoint,
                                 Time deadline) {
-  const auto connection = std::make_shared<EngineConnection>(id, endpoint, deadline, settings_.report_fields,
-                                                             events_, writer_, dispatcher_.metrics());
+  const auto connection = std::make_shared<EngineConnection>(
+      id, endpoint, deadline, settings_.report_fields, events_, slow_writer_poller_, dispatcher_.metrics());
   connections_.emplace(id, connection);
   engine_poller_.add(connection);
 }
@@ -63,7 +64,7 @@
   write(id, protocol::encode_end(request_id));
 }
 
-// The poller may hold the connection a little longer.
+// The poller may share ownership of the connection a little longer.
 void EnginePortAdapter::close(dispatch::EngineConnectionId id) {
   if (auto closed = connections_.extract(id)) closed.mapped()->abort();
 }
--- a/src/net/engine_port_adapter.h
+++ b/src/net/engine_port_adapter.h
@@ -1,7 +1,8 @@
-// The dispatcher's port to engines: owns the connections to engines and forwards its actions to them, worded
-// as commands of the engine protocol. A connection that has ended meanwhile is skipped.
+// Implements the dispatcher's port to engines on sockets: owns the engine connections and sends the
+// dispatcher's actions as commands of the engine protocol. Actions on a connection that has ended are
+// ignored.
 //
-// The dispatcher's thread only.
+// Used by the dispatcher's thread only.
 #pragma once
 
 #include <map>
@@ -19,10 +20,10 @@
 
 class EnginePortAdapter : public dispatch::EnginePort {
  public:
-  // `engine_poller` reads the connections, `writer` writes to slow ones. `dispatcher`: whose metrics the
-  // connections count into; it may be constructed after this.
+  // `engine_poller` reads the connections; `slow_writer_poller` writes to engines that are slow to read. The
+  // connections count attempts in the metrics of `dispatcher`, which may be constructed after this object.
   EnginePortAdapter(const config::RealSettings& settings, DispatcherQueue& events, Poller& engine_poller,
-                    Poller& writer, dispatch::Dispatcher& dispatcher);
+                    Poller& slow_writer_poller, dispatch::Dispatcher& dispatcher);
 
   void clear() { connections_.clear(); }
 
@@ -44,7 +45,7 @@
   const config::RealSettings& settings_;
   DispatcherQueue& events_;
   Poller& engine_poller_;
-  Poller& writer_;
+  Poller& slow_writer_poller_;
   dispatch::Dispatcher& dispatcher_;
   std::map<dispatch::EngineConnectionId, std::shared_ptr<EngineConnection>> connections_;
 };
--- a/src/net/event_queue.h
+++ b/src/net/event_queue.h
@@ -1,4 +1,4 @@
-// The bounded queue from the I/O threads to the thread that owns the core.
+// The bounded queue from the I/O threads to the dispatcher's thread.
 #pragma once
 
 #include <condition_variable>
@@ -11,23 +11,24 @@
 
 namespace yokestream::net {
 
-// Many writers, one reader. A full queue makes its writers wait, never its reader.
+// Multiple producers, one consumer. Producers block while the queue is full; the consumer never blocks on
+// them.
 template <class Event>
 class EventQueue {
  public:
   explicit EventQueue(std::size_t max_events) : max_events_(max_events) {}
 
-  // Waits while the queue is full. Once closed, the event is dropped.
+  // Blocks while the queue is full. Drops the event if the queue is closed.
   void post(Event event) {
     std::unique_lock lock(mutex_);
-    ++blocked_writers_;
+    ++blocked_producers_;
     not_full_.wait(lock, [&] { return events_.size() < max_events_ || closed_; });
-    --blocked_writers_;
+    --blocked_producers_;
     if (closed_) return;
     events_.push_back(std::move(event));
     if (events_.size() == 1) not_empty_.notify_one();
   }
-  // All queued events, as soon as there is one or `deadline` has passed.
+  // Waits until there is an event or `deadline` has passed, and returns all queued events.
   std::deque<Event> drain_until(Time deadline) {
     std::unique_lock lock(mutex_);
     const auto has_events = [&] { return !events_.empty(); };
@@ -40,12 +41,12 @@
     not_full_.notify_all();
     return drained;
   }
-  // Writers that wait for space.
-  std::size_t blocked_writers() {
+  // The number of producers that wait for space.
+  std::size_t blocked_producers() {
     const std::lock_guard lock(mutex_);
-    return blocked_writers_;
+    return blocked_producers_;
   }
-  // Writers wait no more; what they post is dropped.
+  // Unblocks the producers. Events posted from now on are dropped.
   void close() {
     const std::lock_guard lock(mutex_);
     closed_ = true;
@@ -59,7 +60,7 @@
   std::condition_variable not_full_;
   // All guarded by mutex_.
   std::deque<Event> events_;
-  std::size_t blocked_writers_ = 0;
+  std::size_t blocked_producers_ = 0;
   bool closed_ = false;
 };
 
--- a/src/net/events.h
+++ b/src/net/events.h
@@ -1,4 +1,4 @@
-// What the threads of the connections, of discovery and of coordination post to the dispatcher's thread.
+// The events that connections, the listener, discovery and coordination post to the dispatcher's thread.
 #pragma once
 
 #include <memory>
@@ -17,30 +17,30 @@
 
 class ClientSession;
 
-struct ClientAccepted {  // a new client connection; posted before anything else of it
+struct ClientAccepted {  // a new client connection; posted before any other event of it
   dispatch::SessionId id{};
-  std::uint64_t origin = 0;  // the address that it comes from, as a number
+  std::uint64_t origin = 0;  // the client's IPv4 address as a number
   std::shared_ptr<ClientSession> session;
 };
 
-struct ConfigurationReloaded {  // the parts of a new configuration that take effect at once
+struct ConfigurationReloaded {  // the parts of a configuration that take effect without a restart
   std::optional<config::Endpoint> feed;
   door::Settings door;
   queues::Settings queues;
 };
 
-struct LoadGrantChanged {  // the part of the fleet's load that this process may count on
+struct LoadGrantChanged {  // the share of the fleet's load that this process may use
   coordination::FleetMember::LoadGrant grant;
 };
 
-struct RoutesChanged {                       // where requests of areas that move may go
+struct RoutesChanged {                       // where requests of movable areas may be sent
   std::optional<routing::RouteTable> table;  // nullopt: nowhere
   Time valid_until{};
 };
 
 using LoopEvent =
     std::variant<dispatch::Event, ClientAccepted, ConfigurationReloaded, LoadGrantChanged, RoutesChanged>;
-// Any thread posts, the dispatcher's takes.
+// Any thread may post; only the dispatcher's thread drains it.
 using DispatcherQueue = EventQueue<LoopEvent>;
 
 }  // namespace yokestream::net
--- a/src/net/fleet_state_applier.cpp
+++ b/src/net/fleet_state_applier.cpp
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-// Routes are used until a margin before their lease ends, like load shares.
+// Like load shares, routes are used only until a safety margin before their lease expires.
 void FleetStateApplier::on_routes_changed(const RoutesChanged& event) {
   const Time until = event.table ? coordination::with_lease_margin(event.valid_until) : Time::min();
   dispatcher_.apply_routes(now(), event.table.value_or(routing::RouteTable{}), until);
@@ -29,7 +29,7 @@
     coordination_.acknowledge_load_shares(grant_.epoch);
 }
 
-// An epoch is acknowledged only when no attempt that it forbids is in flight any more.
+// Acknowledges a routing epoch once no attempt that it forbids is in flight.
 void FleetStateApplier::acknowledge_routes() {
   const std::int64_t epoch = dispatcher_.routes_epoch();
   if (acknowledged_routes_epoch_ == epoch || !dispatcher_.conforms_to_routes()) return;
--- a/src/net/fleet_state_applier.h
+++ b/src/net/fleet_state_applier.h
@@ -1,7 +1,7 @@
-// Applies what coordination grants this process to the dispatcher, and acknowledges it once the dispatcher
-// acts on it: the part of the fleet's load that it may count on, and the routes of areas that move.
+// Applies the load share and the routes of movable areas that coordination grants this process to the
+// dispatcher, and acknowledges them once they are in effect.
 //
-// The dispatcher's thread only. Only where the fleet shares a store.
+// Used by the dispatcher's thread only, and only if the fleet shares a store.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 class FleetStateApplier {
  public:
-  // Both outlive this.
+  // Both must outlive this object.
   FleetStateApplier(dispatch::Dispatcher& dispatcher, CoordinationThread& coordination)
       : dispatcher_(dispatcher), coordination_(coordination) {}
 
@@ -24,7 +24,7 @@
   void on_request_received() { coordination_.count_arrival(); }
   void begin_shutdown() { coordination_.leave(); }
 
-  // Once each iteration of the dispatcher's loop: what has come into effect, or lapsed, by now.
+  // Called once in each iteration of the dispatcher's loop. Applies grants that took effect or expired.
   void tick();
 
  private:
@@ -34,10 +34,10 @@
 
   dispatch::Dispatcher& dispatcher_;
   CoordinationThread& coordination_;
-  coordination::FleetMember::LoadGrant grant_;   // the last one; it lapses with time
-  coordination::LoadShare applied_share_ = 0;    // what the dispatcher acts on
-  std::int64_t acknowledged_grant_epoch_ = -1;   // of the table that says so
-  std::int64_t acknowledged_routes_epoch_ = -1;  // of the routes that the dispatcher conforms to
+  coordination::FleetMember::LoadGrant grant_;   // the last one received; it expires
+  coordination::LoadShare applied_share_ = 0;    // the share that the dispatcher uses
+  std::int64_t acknowledged_grant_epoch_ = -1;   // of the load share table
+  std::int64_t acknowledged_routes_epoch_ = -1;  // of the routing table
   Time next_report_{};
 };
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -15,14 +15,14 @@
 namespace yokestream::net {
 namespace {
 
-constexpr Duration kRetryDelay = std::chrono::milliseconds(10);  // while no descriptor is free
+constexpr Duration kRetryDelay = std::chrono::milliseconds(10);  // while no slot or descriptor is free
 
-bool is_lack_of_resources(int error) {
+bool is_resource_shortage(int error) {
   return error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM;
 }
 
-// The client left before it was accepted, or there is nobody to accept.
-bool is_nothing_to_accept(int error) { return error == EAGAIN || error == EINTR || error == ECONNABORTED; }
+// The client has disconnected before accept(), or no client is waiting.
+bool is_no_client(int error) { return error == EAGAIN || error == EINTR || error == ECONNABORTED; }
 
 }  // namespace
 
@@ -39,14 +39,14 @@
       reader_pool_(reader_pool),
       log_(log) {
   if (!stop_event_ || ::fcntl(fd_.get(), F_SETFL, O_NONBLOCK) != 0)
-    throw std::system_error(errno, std::generic_category(), "cannot wait for clients");
+    throw std::system_error(errno, std::generic_category(), "cannot prepare the listening socket");
   thread_ = Thread("listener", kSmallStackBytes, [this] { run(); });
 }
 
 Listener::~Listener() { raise_event(stop_event_); }
 
-// Failure: a thread that waits in accept() itself is not woken on every platform when its listener is to end.
-// Symptom: the destructor hangs. Guard: it waits for the socket and for stop_event_ together.
+// Failure: on some platforms a thread that blocks in accept() cannot be woken when its listener is to stop.
+// Symptom: the destructor hangs. Guard: the thread polls the socket and stop_event_ together.
 Listener::WaitResult Listener::wait_until(Time deadline, const Fd* readable) {
   pollfd polled[] = {{stop_event_.get(), POLLIN, 0}, {readable ? readable->get() : -1, POLLIN, 0}};
   ::poll(polled, readable ? 2 : 1, milliseconds_until(deadline));
@@ -54,8 +54,8 @@
 }
 
 void Listener::run() {
-  // A wait that was interrupted does not mean that the gate is open: until then another process may serve
-  // here.
+  // A wait may be interrupted before the gate is open, and until it is, another process may serve this
+  // socket.
   while (!gate_.is_open()) {
     if (wait_until(Time::max(), &gate_.opened_event()) == WaitResult::stopping) return;
   }
@@ -63,10 +63,11 @@
 }
 
 void Listener::accept_clients() {
-  bool lack_logged = false;
+  bool shortage_logged = false;
   while (true) {
     // Failure: client connections use up all descriptors. Symptom: none is left for connections to engines.
-    // Guard: no more are accepted than there are slots; the dispatcher closes idle ones before that.
+    // Guard: no more clients are accepted than there are slots; the dispatcher closes idle connections
+    // earlier.
     dispatch::Reservation slot;
     if (!session_slots_.try_reserve(slot, 1)) {
       if (wait_until(now() + kRetryDelay, nullptr) == WaitResult::stopping) return;
@@ -78,22 +79,21 @@
     Fd connection(::accept4(fd_.get(), reinterpret_cast<sockaddr*>(&peer), &size, SOCK_CLOEXEC));
     if (connection) {
       start_session(std::move(connection), peer.sin_addr.s_addr, std::move(slot));
-      lack_logged = false;
+      shortage_logged = false;
       continue;
     }
-    // Failure: descriptors or memory run out. Symptom: accept() fails at once, again and again. Guard: it is
-    // tried again after a delay; who waits is accepted then.
+    // Failure: descriptors or memory run out. Symptom: accept() fails immediately, in a busy loop. Guard: it
+    // is retried after a delay; waiting clients are accepted then.
     const int error = errno;
-    if (is_lack_of_resources(error) && !std::exchange(lack_logged, true))
-      log_.write("client connection not accepted: cause=\"no descriptor is free\"");
-    if (!is_nothing_to_accept(error) && wait_until(now() + kRetryDelay, nullptr) == WaitResult::stopping)
-      return;
+    if (is_resource_shortage(error) && !std::exchange(shortage_logged, true))
+      log_.write("client connection not accepted: cause=\"out of descriptors or memory\"");
+    if (!is_no_client(error) && wait_until(now() + kRetryDelay, nullptr) == WaitResult::stopping) return;
   }
 }
 
-// Failure: a busy dispatcher delays the first read. Symptom: time limits, which count from a request's last
-// byte, start late. Guard: the connection is read from here on; ClientAccepted is posted first, and so before
-// its requests.
+// Failure: a busy dispatcher delays the first read of a connection. Symptom: deadlines, which count from a
+// request's last byte, start late. Guard: the client poller reads the connection from here on. ClientAccepted
+// is posted first, so the dispatcher sees it before the client's requests.
 void Listener::start_session(Fd connection, std::uint64_t origin, dispatch::Reservation slot) {
   const int enabled = 1;
   setsockopt(connection.get(), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -10,16 +10,16 @@
 
 namespace yokestream::net {
 
-// Accepts clients once `gate` is open. The socket is the platform's, where it hands one down
-// (`config.listen_fd`), and then shared with other processes: it is never shut down here, only closed.
+// Accepts clients once `gate` is open. With `config.listen_fd` the listening socket is inherited from the
+// platform and shared with other processes, so it is never shut down here, only closed.
 class Listener {
  public:
-  // `session_slots`: connections that may be open at once; each connection holds one and may outlive the
-  // listener. All references outlive it. Throws std::system_error.
+  // `session_slots` bounds the connections that are open at once. A connection holds one slot and may outlive
+  // the listener. All references must outlive the listener. Throws std::system_error.
   Listener(const config::Config& config, const AcceptGate& gate, dispatch::Budget& session_slots,
            dispatch::Budget& memory_budget, DispatcherQueue& events, ReaderPool& reader_pool,
            dispatch::Log& log);
-  ~Listener();  // accepts no more; joins
+  ~Listener();  // stops accepting and joins the thread
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
@@ -34,7 +34,7 @@
   void start_session(Fd connection, std::uint64_t origin, dispatch::Reservation slot);
 
   Fd fd_;
-  Fd stop_event_;  // readable once the listener is to end
+  Fd stop_event_;  // an eventfd; readable when the listener is to stop
   const AcceptGate& gate_;
   const config::RealSettings& settings_;
   dispatch::Budget& memory_budget_;
@@ -42,8 +42,8 @@
   DispatcherQueue& events_;
   ReaderPool& reader_pool_;
   dispatch::Log& log_;
-  std::uint64_t last_session_ = 0;  // thread_ only
-  Thread thread_;                   // last: it uses the rest
+  std::uint64_t last_session_ = 0;  // used by thread_ only
+  Thread thread_;                   // declared last: it uses the other members
 };
 
 }  // namespace yokestream::net
--- a/src/net/listening_socket.cpp
+++ b/src/net/listening_socket.cpp
@@ -28,9 +28,11 @@
 }
 
 Fd inherited_listener(int fd) {
-  Fd own(is_listener(fd) ? ::fcntl(fd, F_DUPFD_CLOEXEC, 0) : -1);
-  if (!own) throw std::system_error(ENOTSOCK, std::generic_category(), "no listener is handed down");
-  return own;
+  Fd duplicate(is_listener(fd) ? ::fcntl(fd, F_DUPFD_CLOEXEC, 0) : -1);
+  if (!duplicate)
+    throw std::system_error(ENOTSOCK, std::generic_category(),
+                            "the inherited descriptor is not a listening socket");
+  return duplicate;
 }
 
 config::Endpoint local_endpoint(const Fd& fd) {
--- a/src/net/listening_socket.h
+++ b/src/net/listening_socket.h
@@ -1,4 +1,4 @@
-// Sockets that listen for connections: opened here, or handed down by the platform.
+// Listening TCP sockets, opened by this process or inherited from the platform.
 #pragma once
 
 #include "net/socket.h"
@@ -6,8 +6,8 @@
 namespace yokestream::net {
 
 Fd listen_on(const config::Endpoint& endpoint);  // throws std::system_error
-bool is_listener(int fd);                        // an open TCP socket that listens?
-// A descriptor of our own of a listening socket that was handed down. Throws std::system_error.
+bool is_listener(int fd);                        // true for an open TCP socket that listens
+// Returns a duplicate of an inherited listening socket's descriptor. Throws std::system_error.
 Fd inherited_listener(int fd);
 config::Endpoint local_endpoint(const Fd& fd);
 
--- a/src/net/message_credits.h
+++ b/src/net/message_credits.h
@@ -1,4 +1,4 @@
-// Limits how many messages of one client may wait for the core.
+// Limits how many messages of one client may wait to be handled by the dispatcher.
 #pragma once
 
 #include <condition_variable>
@@ -7,15 +7,15 @@
 
 namespace yokestream::net {
 
-// A counting semaphore with a close. One credit is held by each message from its posting to the event queue
-// until the core has handled it. Any thread may call.
+// A counting semaphore that can be closed. A message holds one credit from its posting to the event queue
+// until the dispatcher has handled it. Any thread may call.
 //
-// Failure: one client floods the event queue. Symptom: all other clients wait behind its messages.
-// Guard: whoever reads that client waits here for its own messages to be handled.
+// Failure: one client floods the event queue. Symptom: the messages of all other clients are delayed.
+// Guard: the thread that reads the client takes no further message until earlier ones have been handled.
 class MessageCredits {
  public:
   explicit MessageCredits(std::size_t capacity) : capacity_(capacity), available_(capacity) {}
-  // Waits for a credit. False: closed.
+  // Blocks until a credit is available. False: closed.
   bool acquire() {
     std::unique_lock lock(mutex_);
     changed_.wait(lock, [&] { return available_ > 0 || closed_; });
@@ -23,7 +23,7 @@
     --available_;
     return true;
   }
-  // Does not wait. False: no credit is available.
+  // Does not block. False: no credit is available.
   bool try_acquire() {
     const std::lock_guard lock(mutex_);
     if (available_ == 0) return false;
@@ -35,12 +35,12 @@
     ++available_;
     changed_.notify_one();
   }
-  // Is any credit held, so that a message is on its way to the core?
+  // True if a credit is held, so that a message has been posted and not yet handled.
   bool in_use() {
     const std::lock_guard lock(mutex_);
     return available_ < capacity_;
   }
-  // From now on acquire() does not wait and returns false.
+  // From now on acquire() returns false without blocking.
   void close() {
     const std::lock_guard lock(mutex_);
     closed_ = true;
--- a/src/net/message_queue.cpp
+++ b/src/net/message_queue.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-bool MessageQueue::remove(std::uint64_t id) {
+bool MessageQueue::remove_request(std::uint64_t id) {
   const auto it = std::find_if(entries_.begin(), entries_.end(),
                                [&](const Entry& entry) { return is_request(entry.message, id); });
   if (it == entries_.end()) return false;
@@ -23,7 +23,7 @@
 
 void MessageQueue::push(protocol::ClientMessage message, Time arrived) {
   const auto* cancel = std::get_if<protocol::CancelCall>(&message);
-  if (cancel && remove(cancel->id)) return;
+  if (cancel && remove_request(cancel->id)) return;
   entries_.push_back({std::move(message), arrived});
 }
 
--- a/src/net/message_queue.h
+++ b/src/net/message_queue.h
@@ -1,8 +1,8 @@
-// Messages of one client that have been read and not posted to the core yet, in order.
+// A FIFO queue of one client's messages that have been decoded but not yet posted to the dispatcher.
 //
-// A request that its client cancels while it is queued here never reaches the core, so it is sent to no
-// engine however long the core was busy or the process was stopped. Pure; owned by whoever reads the client.
-// Memory: kMaxMessages messages, decoded from a few reads.
+// A request that is cancelled while it is queued here never reaches the dispatcher. So it is sent to no
+// engine, however long the dispatcher was busy or the process was stopped. Does no I/O; owned by the thread
+// that reads the client. Memory: at most kMaxMessages messages, decoded from a few reads.
 #pragma once
 
 #include <deque>
@@ -18,12 +18,12 @@
   static constexpr std::size_t kMaxMessages = 64;
   struct Entry {
     protocol::ClientMessage message;
-    Time arrived{};  // when its last byte was read
+    Time arrived{};  // arrival time of its last byte
   };
 
   bool is_empty() const { return entries_.empty(); }
   bool is_full() const { return entries_.size() >= kMaxMessages; }
-  // A cancellation removes its queued request, and then neither is posted.
+  // A cancellation of a queued request removes that request and is dropped itself.
   void push(protocol::ClientMessage message, Time arrived);
   Entry pop() {  // precondition: not empty
     Entry first = std::move(entries_.front());
@@ -32,7 +32,7 @@
   }
 
  private:
-  bool remove(std::uint64_t id);  // false: no such request is queued
+  bool remove_request(std::uint64_t id);  // false: no such request is queued
 
   std::deque<Entry> entries_;
 };
--- a/src/net/poller.cpp
+++ b/src/net/poller.cpp
@@ -14,8 +14,8 @@
 
 constexpr std::size_t kMaxEventsPerWait = 64;
 constexpr std::uint64_t kWakeToken = ~std::uint64_t{0};
-constexpr Duration kUnwatchedRetry =
-    std::chrono::milliseconds(10);  // of a connection that epoll could not add
+// The interval of calls to a connection that could not be added to the epoll set.
+constexpr Duration kUnarmedRetryInterval = std::chrono::milliseconds(10);
 
 }  // namespace
 
@@ -25,7 +25,7 @@
   event.events = EPOLLIN;
   event.data.u64 = kWakeToken;
   if (!epoll_ || !wake_event_ || ::epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, wake_event_.get(), &event) != 0)
-    throw std::system_error(errno, std::generic_category(), "cannot wait for connections");
+    throw std::system_error(errno, std::generic_category(), "cannot create an epoll set");
   thread_ = Thread(thread_name, kSmallStackBytes, [this] { run(); });
 }
 
@@ -48,10 +48,10 @@
   wake();
 }
 
-// One shot: a connection is reported once and then again only after it has been called.
+// EPOLLONESHOT: a connection is reported once, and again only after on_ready() has been called.
 //
-// Failure: the system has no capacity to watch one more descriptor. Symptom: nobody reads the connection, and
-// its requests find no answer. Guard: it is called periodically until it can be watched.
+// Failure: the system cannot watch one more descriptor. Symptom: the connection is never read, and its
+// requests get no response. Guard: on_ready() is called periodically until the descriptor can be added.
 void Poller::arm(std::uint64_t token, Registration& registration, Pollable::PollResult result) {
   epoll_event event{};
   event.events = EPOLLONESHOT | (result == Pollable::PollResult::wait_writable ? EPOLLOUT : EPOLLRDHUP);
@@ -102,7 +102,7 @@
   if (result != Pollable::PollResult::wait_until_due) arm(token, registration, result);
   registration.due = connection->next_due();
   if (result != Pollable::PollResult::wait_until_due && !registration.armed)
-    registration.due = std::min(registration.due, now() + kUnwatchedRetry);
+    registration.due = std::min(registration.due, now() + kUnarmedRetryInterval);
   if (registration.due != Time::max()) due_times_.emplace(registration.due, token);
 }
 
--- a/src/net/rate_limiter.h
+++ b/src/net/rate_limiter.h
@@ -1,5 +1,5 @@
-// Limits the rate at which one client's messages are accepted. Reads no clock; owned by whoever reads the
-// client.
+// Limits the rate at which messages of one client are accepted. Reads no clock; owned by the thread that
+// reads the client.
 #pragma once
 
 #include <algorithm>
@@ -8,9 +8,9 @@
 
 namespace yokestream::net {
 
-// Failure: a client repeats its request as fast as it is rejected. Symptom: the core is busy with rejections.
-// Guard: beyond a burst its messages are accepted at a steady rate. A client that has had a result is never
-// limited (client_session.h).
+// Failure: a client repeats its request as fast as it is rejected. Symptom: the dispatcher spends its time on
+// rejections. Guard: after a burst, messages are accepted at a fixed rate. Clients that have received a
+// result are never limited (client_session.h).
 class RateLimiter {
  public:
   using Time = policy::Time;
@@ -18,11 +18,11 @@
   RateLimiter(int burst_messages, Duration interval)
       : burst_allowance_(burst_messages * interval), interval_(interval) {}
 
-  // When the next message may be accepted; `now` where that is at once.
+  // Returns when the next message may be accepted; `now` if it may be accepted immediately.
   Time next_permitted(Time now) const {
     return std::max(now, std::max(charged_until_, now) + interval_ - burst_allowance_);
   }
-  // A message has been accepted.
+  // Records that a message has been accepted.
   void record(Time now) { charged_until_ = std::max(charged_until_, now) + interval_; }
 
  private:
--- a/src/net/sender.h
+++ b/src/net/sender.h
@@ -1,15 +1,15 @@
-// Writes the items queued for one connection, in order, without ever making the caller wait.
+// Writes the items queued for one connection, in order, without ever blocking the caller.
 //
-// An item that the socket accepts at once is written by the thread that adds it; what the socket does not
-// accept waits here, and the poller for slow writers (given by the owner through `BlockedCallback`) writes it
-// as space comes. So no connection needs a thread of its own for writing.
+// The thread that adds an item writes as much of it as the socket accepts immediately. The rest is queued,
+// and the poller for slow writers, which the owner registers in `BlockedCallback`, writes it when the socket
+// becomes writable. So no connection needs a writer thread.
 //
-// Failure: a platform that limits a process to a part of a core by stopping it pays for each of its threads
-// at each stop (docs/design/door.md). Symptom: processor time is lost with the number of connections.
-// Guard: one thread writes for all slow peers.
+// Failure: one writer thread per connection, on a platform that limits a process to a part of a processor
+// core by stopping it (docs/design/door.md). Symptom: each stop costs time for each thread, so processor time
+// is lost in proportion to the number of connections. Guard: one thread writes for all slow peers.
 //
-// Any thread may call; mutex_ guards the state. The bound counts the bytes of queued items. The callbacks are
-// called under the lock and must not call back.
+// Any thread may call; mutex_ guards the state. The bound counts the bytes of queued items. The callbacks run
+// under the lock and must not call back into the sender.
 #pragma once
 
 #include <algorithm>
@@ -28,37 +28,38 @@
 template <class Item>
 class Sender : public Pollable {
  public:
-  // Turns an item into bytes, right before its first byte is written.
+  // Serializes an item, right before its first byte is written.
   using Serialize = std::function<std::string(const Item&)>;
-  // Has the poller for slow writers call this sender from now on.
+  // Registers this sender with the poller for slow writers.
   using BlockedCallback = std::function<void()>;
-  // Called once the socket has all bytes of an item.
+  // Called once the socket has accepted all bytes of an item.
   using WrittenCallback = std::function<void(const Item&)>;
-  // Until when an item may be written, checked right before its first byte (S4). An expired one is kept for
-  // withdraw() to find. Between this check and the write lies nothing but the system call: a process that is
-  // stopped just there writes late when it goes on (docs/design/duty.md).
+  // Returns when an item expires, which is checked right before its first byte is written. An expired item is
+  // never written but is kept for withdraw() to find. Only the system call lies between this check and the
+  // write, but a process that is stopped exactly there writes the item late when it continues
+  // (docs/design/duty.md).
   using ExpiryOf = std::function<Time(const Item&)>;
-  Sender(std::size_t bound_bytes, Socket& socket, Serialize serialize, BlockedCallback on_blocked,
+  Sender(std::size_t max_queued_bytes, Socket& socket, Serialize serialize, BlockedCallback on_blocked,
          WrittenCallback on_written = {}, ExpiryOf expiry_of = {})
-      : bound_bytes_(bound_bytes),
+      : max_queued_bytes_(max_queued_bytes),
         socket_(socket),
         serialize_(std::move(serialize)),
         on_blocked_(std::move(on_blocked)),
         on_written_(std::move(on_written)),
         expiry_of_(std::move(expiry_of)) {}
 
-  // The connection is up: queued items are written, and later ones at once.
+  // Called when the connection is established. Writes the queued items, and later ones when added.
   void open() {
     const std::lock_guard lock(mutex_);
     open_ = true;
     write_or_register();
   }
-  // `bytes`: what the item counts against the bound. False: over the bound, closed or broken; the connection
-  // is of no further use.
+  // `bytes` is the item's size as counted against the bound. Returns false if the queue is full, closed or
+  // broken; the connection is then unusable.
   bool add(Item item, std::size_t bytes) {
     const std::lock_guard lock(mutex_);
-    if (!closed_ && queued_bytes_ + bytes > bound_bytes_) return false;
-    items_.emplace_back(std::move(item), bytes);  // closed: it is never written, and withdraw() finds it
+    if (!closed_ && queued_bytes_ + bytes > max_queued_bytes_) return false;
+    items_.emplace_back(std::move(item), bytes);  // if closed: only for withdraw() to find
     queued_bytes_ += bytes;
     return !closed_ && (!open_ || registered_ || write_or_register());
   }
@@ -76,28 +77,28 @@
     }
     return false;
   }
-  // Has everything that was added been written?
+  // True if all added items have been written.
   bool is_idle() {
     const std::lock_guard lock(mutex_);
     return is_empty();
   }
-  // The write side is shut down once everything is written.
+  // Shuts down the write side once all items have been written.
   void close_after_writes() {
     const std::lock_guard lock(mutex_);
     closing_after_writes_ = true;
     if (is_empty()) socket_.shutdown_write();
   }
-  // Was close_after_writes() called?
+  // True once close_after_writes() has been called.
   bool is_closing() {
     const std::lock_guard lock(mutex_);
     return closing_after_writes_;
   }
-  // Was it called, and has everything been written?
+  // True once it has been called and all items have been written.
   bool is_drained() {
     const std::lock_guard lock(mutex_);
     return closing_after_writes_ && is_empty();
   }
-  // Nothing more is written.
+  // Stops writing.
   void close() {
     const std::lock_guard lock(mutex_);
     closed_ = true;
@@ -111,7 +112,7 @@
     if (!closed_ && write_queued() == WriteResult::partial)
       return made_progress_ ? PollResult::wait_writable : retry_later();
     registered_ = false;
-    return PollResult::handed_over;  // the next add() writes again
+    return PollResult::handed_over;  // add() writes again from now on
   }
   Time next_due() const override { return next_due_; }
   void on_closed() override {}
@@ -120,15 +121,15 @@
   enum class WriteResult { complete, partial, broken };
   static constexpr Duration kNoBufferRetry = std::chrono::milliseconds(10);
 
-  // Failure: the system has no buffer, so the socket is reported writable and accepts nothing. Symptom: the
-  // poller's thread spins. Guard: the next attempt waits.
+  // Failure: the kernel lacks buffers, so the socket is reported as writable but accepts no bytes. Symptom:
+  // the poller's thread spins. Guard: the next attempt is delayed.
   PollResult retry_later() {
     next_due_ = now() + kNoBufferRetry;
     return PollResult::wait_until_due;
   }
-  // The caller of each of these holds mutex_.
+  // The caller of each function below holds mutex_.
   bool is_empty() const { return items_.empty() && partial_write_.empty(); }
-  bool write_or_register() {  // false: broken
+  bool write_or_register() {  // false: the connection is broken
     const WriteResult result = write_queued();
     if (result == WriteResult::partial) {
       registered_ = true;
@@ -136,23 +137,24 @@
     }
     return result != WriteResult::broken;
   }
-  // Moves the first item away if its time is over. False: it may still be written.
+  // Moves the first item to the expired ones if it has expired. False: it may still be written.
   bool skip_expired() {
     if (!expiry_of_ || now() < expiry_of_(items_.front().first)) return false;
     expired_.push_back(std::move(items_.front()));
     items_.pop_front();
     return true;
   }
-  // Some of the first item has left, so withdraw() must not find it any more.
-  void begin_item() {
+  // Removes the first item, of which some bytes have been written, so that withdraw() no longer finds it.
+  void move_to_partly_written() {
     partly_written_item_ = std::move(items_.front().first);
     queued_bytes_ -= items_.front().second;
     items_.pop_front();
   }
-  // Writes what the socket accepts without waiting.
+  // Writes what the socket accepts without blocking.
   //
-  // Failure: a request whose connection breaks is sent elsewhere although the engine has part of it. Symptom:
-  // it runs twice. Guard: an item stays where withdraw() finds it exactly until some of it has been written.
+  // Failure: a request whose connection breaks is sent to another engine although the first one has received
+  // part of it. Symptom: it runs twice. Guard: withdraw() finds an item exactly until its first byte has been
+  // written.
   WriteResult write_queued() {
     made_progress_ = false;
     while (!is_empty()) {
@@ -166,7 +168,7 @@
       }
       made_progress_ = made_progress_ || *written > 0;
       if (starts_item && *written == 0) return WriteResult::partial;
-      if (starts_item) begin_item();
+      if (starts_item) move_to_partly_written();
       partial_write_ = bytes.erase(0, *written);
       if (!partial_write_.empty()) return WriteResult::partial;
       if (on_written_) on_written_(*partly_written_item_);
@@ -176,23 +178,23 @@
     return WriteResult::complete;
   }
 
-  const std::size_t bound_bytes_;
+  const std::size_t max_queued_bytes_;
   Socket& socket_;
   const Serialize serialize_;
   const BlockedCallback on_blocked_;
   const WrittenCallback on_written_;
   const ExpiryOf expiry_of_;
-  Time next_due_ = Time::max();  // poller thread only
+  Time next_due_ = Time::max();  // used by the poller's thread only
   std::mutex mutex_;
   // All below guarded by mutex_.
-  std::deque<std::pair<Item, std::size_t>> items_;    // with their bytes
-  std::deque<std::pair<Item, std::size_t>> expired_;  // never to be written
-  std::optional<Item> partly_written_item_;           // kept: its reservations end once it has left
-  std::string partial_write_;                         // the unwritten rest of it
+  std::deque<std::pair<Item, std::size_t>> items_;    // with their sizes in bytes
+  std::deque<std::pair<Item, std::size_t>> expired_;  // never written
+  std::optional<Item> partly_written_item_;           // keeps its reservations until it is written
+  std::string partial_write_;                         // its unwritten bytes
   std::size_t queued_bytes_ = 0;
-  bool made_progress_ = false;  // did the last write_queued() write any byte?
+  bool made_progress_ = false;  // the last write_queued() has written a byte
   bool open_ = false;
-  bool registered_ = false;  // the poller writes for it
+  bool registered_ = false;  // with the poller for slow writers
   bool closing_after_writes_ = false;
   bool closed_ = false;
 };
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -4,24 +4,25 @@
 namespace {
 
 constexpr std::size_t kMaxQueuedEvents = 4096;
-// Reader threads for busy clients: a machine holds hundreds of managers, and only so many threads
-// (docs/design/fleet.md). Clients beyond are read by the client poller.
-constexpr std::size_t kMaxReaders = 32;
-constexpr std::size_t kMemoryShareDivisor = 4;  // a quarter of the memory is for statements and results
+// Bounds the reader threads of busy clients, because a machine runs hundreds of managers and has a limited
+// number of threads (docs/design/fleet.md). The client poller reads the other clients.
+constexpr std::size_t kMaxReaderThreads = 32;
+// A quarter of the memory limit is the budget for statements and results.
+constexpr std::size_t kMemoryBudgetDivisor = 4;
 
 }  // namespace
 
 Server::Server(const config::Config& config, dispatch::Log& log)
     : log_(log),
-      memory_budget_(config.limits.memory_mb * 1024 * 1024 / kMemoryShareDivisor),
+      memory_budget_(config.limits.memory_mb * 1024 * 1024 / kMemoryBudgetDivisor),
       session_slots_(config.limits.sessions()),
       events_(kMaxQueuedEvents),
       engine_poller_("engine-poller"),
       client_poller_("client-poller"),
-      writer_poller_("writer"),
-      reader_pool_{dispatch::Budget(kMaxReaders), client_poller_, writer_poller_},
+      slow_writer_poller_("writer"),
+      reader_pool_{dispatch::Budget(kMaxReaderThreads), client_poller_, slow_writer_poller_},
       client_port_(config.real),
-      engine_port_(config.real, events_, engine_poller_, writer_poller_, dispatcher_),
+      engine_port_(config.real, events_, engine_poller_, slow_writer_poller_, dispatcher_),
       dispatcher_(config, now(), from_unix_ms, memory_budget_, client_port_, engine_port_, log,
                   upgrade::load_predecessor_state(config, log)) {
   discovery_ = std::make_unique<discovery::DiscoveryWatcher>(config.feed, config.known_number, config.seed,
@@ -30,7 +31,7 @@
                                          reader_pool_, log);
   if (upgrade::is_enabled(config))
     upgrade_.emplace(config, accept_gate_, session_slots_, memory_budget_, dispatcher_);
-  // A successor accepts clients once it was asked whether it is ready: until then its predecessor serves.
+  // A successor accepts clients only after the first readyz request. Until then its predecessor serves.
   if (!upgrade_ || !config.management || !upgrade_->has_successor()) begin_serving();
   if (config.fleet.on) {
     coordination_.emplace(config, events_, log);
@@ -45,10 +46,10 @@
 }
 
 Server::~Server() {
-  events_.close();  // threads that wait to post to it go on, and end
+  events_.close();  // unblocks the threads that wait to post, so that they can end
   dispatcher_loop_->join();
   admin_.reset();         // it reads the dispatcher's metrics
-  coordination_.reset();  // it posts events, which nobody takes any more
+  coordination_.reset();  // the events that it posts are dropped
   listener_.reset();
   discovery_.reset();
   client_port_.clear();
--- a/src/net/session_reaper.cpp
+++ b/src/net/session_reaper.cpp
@@ -8,7 +8,7 @@
 SessionReaper::SessionReaper() : retired_(std::numeric_limits<std::size_t>::max()) {
   thread_ = Thread("session-reaper", kSmallStackBytes, [this] {
     while (retired_.pop()) {
-      // What was taken is destroyed here.
+      // The popped object is destroyed here.
     }
   });
 }
@@ -16,7 +16,7 @@
 SessionReaper::~SessionReaper() { retired_.finish(); }
 
 void SessionReaper::retire(std::shared_ptr<ClientSession> session) {
-  session->abort("its session has ended");
+  session->abort("session ended");
   retired_.try_push(std::move(session), 0);
 }
 
--- a/src/net/session_reaper.h
+++ b/src/net/session_reaper.h
@@ -1,5 +1,5 @@
-// Destroys client connections and the listener, which joins their threads, on a thread of its own: the
-// dispatcher's thread never waits for one.
+// Destroys client sessions and the listener on a thread of its own. Destruction joins their threads, for
+// which the dispatcher's thread must never wait.
 #pragma once
 
 #include <memory>
@@ -15,18 +15,18 @@
 class SessionReaper {
  public:
   SessionReaper();   // throws std::system_error
-  ~SessionReaper();  // destroys what has been handed in; joins
+  ~SessionReaper();  // destroys all retired objects and joins the thread
   SessionReaper(const SessionReaper&) = delete;
   SessionReaper& operator=(const SessionReaper&) = delete;
 
-  // Any thread; never block. A session is cut off at once, and destroyed later.
+  // Any thread may call; neither blocks. A session is aborted at once and destroyed later.
   void retire(std::shared_ptr<ClientSession> session);
   void retire(std::unique_ptr<Listener> listener);
 
  private:
   using Retired = std::variant<std::shared_ptr<ClientSession>, std::unique_ptr<Listener>>;
   BoundedWorkQueue<Retired> retired_;
-  Thread thread_;  // last: it uses the rest
+  Thread thread_;  // declared last: it uses the other members
 };
 
 }  // namespace yokestream::net
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -20,15 +20,19 @@
 namespace yokestream::net {
 namespace {
 
-// The kernel counts from the call, so the time left until the deadline is set right before it.
+// The kernel takes a timeout of zero as no timeout.
+constexpr std::int64_t kMinTimeoutUs = 1000;
+
+// The kernel measures the timeout from the start of each call, so it is set right before the call.
 void set_timeout(int fd, int option, Time deadline) {
-  const auto left = std::max<std::int64_t>(
-      1000, std::chrono::duration_cast<std::chrono::microseconds>(deadline - now()).count());
-  const timeval value{static_cast<time_t>(left / 1000000), static_cast<suseconds_t>(left % 1000000)};
+  const auto remaining_us = std::max<std::int64_t>(
+      kMinTimeoutUs, std::chrono::duration_cast<std::chrono::microseconds>(deadline - now()).count());
+  const timeval value{static_cast<time_t>(remaining_us / 1000000),
+                      static_cast<suseconds_t>(remaining_us % 1000000)};
   setsockopt(fd, SOL_SOCKET, option, &value, sizeof value);
 }
 
-// The errors that Linux documents for a local shortage; all others come from the peer or the network.
+// Lists the errors that Linux documents for a local shortage; all others come from the peer or the network.
 ConnectFailure failure_of(int error) {
   switch (error) {
     case EMFILE:
@@ -46,7 +50,7 @@
   }
 }
 
-// No buffer or no memory for now: to be retried, and no end of the connection.
+// The call would block or lacks kernel memory. It can be retried; the connection is still open.
 bool is_transient(int error) { return error == EAGAIN || error == ENOBUFS || error == ENOMEM; }
 
 bool fail(ConnectFailure* failure, ConnectFailure value) {
@@ -72,19 +76,19 @@
 }
 
 bool Socket::connect(const config::Endpoint& endpoint, Time deadline, ConnectFailure* failure) {
-  const ConnectStatus begun = start_connect(endpoint, failure);
-  if (begun != ConnectStatus::pending) return begun == ConnectStatus::connected;
+  const ConnectStatus status = start_connect(endpoint, failure);
+  if (status != ConnectStatus::pending) return status == ConnectStatus::connected;
   pollfd writable{fd_.get(), POLLOUT, 0};
   while (true) {
-    const int ready = ::poll(&writable, 1, milliseconds_until(deadline));
-    if (ready > 0) return finish_connect(failure);
-    if (ready < 0 && errno != EINTR) return fail(failure, {std::strerror(errno), true});
+    const int ready_count = ::poll(&writable, 1, milliseconds_until(deadline));
+    if (ready_count > 0) return finish_connect(failure);
+    if (ready_count < 0 && errno != EINTR) return fail(failure, {std::strerror(errno), true});
     if (now() >= deadline) return fail(failure, {"connect timed out", false});
   }
 }
 
-// The descriptor is opened and the connect started under the lock: abort() comes before both, and nothing is
-// started, or after both, and ends it.
+// Opens the descriptor and starts the connect under one lock. So an abort() comes either before both, and no
+// connect is started, or after both, and shuts the socket down.
 Socket::ConnectStatus Socket::start_connect(const config::Endpoint& endpoint, ConnectFailure* failure) {
   const std::lock_guard lock(mutex_);
   if (aborted_) {
@@ -97,9 +101,9 @@
     return ConnectStatus::failed;
   }
   const sockaddr_in address = address_of(endpoint);
-  const int begun = ::connect(fd_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
-  if (begun == 0) return finish_connect(failure) ? ConnectStatus::connected : ConnectStatus::failed;
-  // Interrupted, it goes on by itself; a second call would fail with EALREADY.
+  const int result = ::connect(fd_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
+  if (result == 0) return finish_connect(failure) ? ConnectStatus::connected : ConnectStatus::failed;
+  // An interrupted connect continues in the background; a second call would fail with EALREADY.
   if (errno == EINPROGRESS || errno == EINTR) return ConnectStatus::pending;
   *failure = failure_of(errno);
   return ConnectStatus::failed;
@@ -116,13 +120,13 @@
   return error == 0;
 }
 
-// Failure: a bounded wait ends before its deadline. Symptom: it is mistaken for the end of the connection.
-// Guard: closed and silent are told apart by the kernel's result alone, never by the clock.
+// Failure: a bounded wait ends before its deadline. Symptom: an open connection is taken for a closed one.
+// Guard: a close and a timeout are distinguished by the result of recv(), never by the clock.
 Socket::WaitResult Socket::wait_readable(Time deadline) {
   char first = 0;
-  const auto got = receive(&first, 1, deadline, MSG_PEEK);
-  if (got > 0) return WaitResult::readable;
-  return got < 0 && is_transient(errno) ? WaitResult::timed_out : WaitResult::closed;
+  const auto received = receive(&first, 1, deadline, MSG_PEEK);
+  if (received > 0) return WaitResult::readable;
+  return received < 0 && is_transient(errno) ? WaitResult::timed_out : WaitResult::closed;
 }
 
 std::size_t Socket::read_until(char* into, std::size_t size, Time deadline) {
@@ -132,9 +136,9 @@
 std::optional<std::size_t> Socket::try_read(char* into, std::size_t size) {
   const std::lock_guard lock(mutex_);
   while (!aborted_) {
-    const ssize_t got = ::recv(fd_.get(), into, size, MSG_DONTWAIT);
-    if (got > 0 && write_shut_down_) return std::nullopt;
-    if (got >= 0) return static_cast<std::size_t>(got);
+    const ssize_t received = ::recv(fd_.get(), into, size, MSG_DONTWAIT);
+    if (received > 0 && write_shut_down_) return std::nullopt;
+    if (received >= 0) return static_cast<std::size_t>(received);
     if (is_transient(errno)) return std::nullopt;
     if (errno != EINTR) return 0;
   }
@@ -142,33 +146,33 @@
 }
 
 std::optional<std::size_t> Socket::try_write(std::string_view bytes) {
-  std::size_t done = 0;
-  while (done < bytes.size()) {
+  std::size_t written = 0;
+  while (written < bytes.size()) {
     const ssize_t sent =
-        ::send(fd_.get(), bytes.data() + done, bytes.size() - done, MSG_NOSIGNAL | MSG_DONTWAIT);
+        ::send(fd_.get(), bytes.data() + written, bytes.size() - written, MSG_NOSIGNAL | MSG_DONTWAIT);
     if (sent < 0 && errno == EINTR) continue;
     if (sent < 0 && is_transient(errno)) break;
     if (sent < 0) return std::nullopt;
-    done += static_cast<std::size_t>(sent);
+    written += static_cast<std::size_t>(sent);
   }
-  return done;
+  return written;
 }
 
 std::ptrdiff_t Socket::receive(char* into, std::size_t size, Time deadline, int flags) {
   if (deadline == Time::max() && std::exchange(read_timeout_set_, false)) {
-    const timeval forever{0, 0};
-    setsockopt(fd_.get(), SOL_SOCKET, SO_RCVTIMEO, &forever, sizeof forever);
+    const timeval no_timeout{0, 0};
+    setsockopt(fd_.get(), SOL_SOCKET, SO_RCVTIMEO, &no_timeout, sizeof no_timeout);
   }
-  ssize_t got = 0;
+  ssize_t received = 0;
   do {
-    // Set before each call: a process that is stopped and goes on finds its bounded reads interrupted.
+    // Set again before each call, because stopping and continuing the process interrupts a bounded read.
     if (deadline != Time::max()) {
       set_timeout(fd_.get(), SO_RCVTIMEO, deadline);
       read_timeout_set_ = true;
     }
-    got = ::recv(fd_.get(), into, size, flags);
-  } while (got < 0 && errno == EINTR);
-  return got;
+    received = ::recv(fd_.get(), into, size, flags);
+  } while (received < 0 && errno == EINTR);
+  return received;
 }
 
 Socket::WriteResult Socket::write(std::string_view bytes) {
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -1,4 +1,4 @@
-// TCP sockets: blocking, bounded by a deadline, and without waiting.
+// TCP sockets with blocking calls, calls bounded by a deadline, and non-blocking calls.
 #pragma once
 
 #include <mutex>
@@ -30,59 +30,64 @@
   int fd_ = -1;
 };
 
-// Makes an eventfd readable, and so wakes whoever waits on it.
+// Makes an eventfd readable and so wakes the threads that poll it.
 void raise_event(const Fd& event);
 
-// Why a connect failed. `local`: this machine had no descriptor, port, buffer or route for it just then,
-// which says nothing about the peer, and nothing was sent.
+// Why a connect failed. `local` is true if this machine lacked a descriptor, port, buffer or route at that
+// moment: nothing was sent, and the failure says nothing about the peer.
 struct ConnectFailure {
   std::string cause;
   bool local = false;
 };
 
-// A socket that one thread reads, one writes and a third may abort. The descriptor itself is closed only with
-// the object, when no thread uses it any more.
+// A socket that one thread may read, another may write and a third may abort. The descriptor is closed only
+// by the destructor, when no thread uses it any more.
 class Socket {
  public:
   Socket() = default;
   explicit Socket(Fd fd) : fd_(std::move(fd)) {}
 
-  // Waits until connected. False: see `failure`.
+  // Blocks until connected. On failure returns false and sets `failure`.
   bool connect(const config::Endpoint& endpoint, Time deadline, ConnectFailure* failure);
-  // The same without waiting: starts; once the descriptor is writable, finish_connect() returns the outcome.
+  // Starts a non-blocking connect. If it is pending, finish_connect() returns the outcome once the descriptor
+  // is writable.
   enum class ConnectStatus { connected, pending, failed };
   ConnectStatus start_connect(const config::Endpoint& endpoint, ConnectFailure* failure);
   bool finish_connect(ConnectFailure* failure);
-  // Waits until there is something to read, and leaves it in the socket. timed_out: the connection stands; it
-  // may be returned a moment before `deadline`, as some kernels end a bounded wait early.
+  // Blocks until there are bytes to read, and does not consume them. timed_out: the connection is still open.
+  // It may be returned shortly before `deadline`, because some kernels end a bounded wait early.
   enum class WaitResult { readable, timed_out, closed };
   WaitResult wait_readable(Time deadline);
-  // Returns the number of bytes read; 0: closed, aborted, or nothing came by `deadline`.
+  // Returns the number of bytes read; 0 if the connection is closed or aborted, or `deadline` has passed.
   std::size_t read_until(char* into, std::size_t size, Time deadline);
-  // The same without waiting; 0: closed or aborted; nullopt: it would block. Nothing is read after an abort:
-  // what the peer sent meanwhile is reset, so that the peer learns that nobody read it.
+  // Reads without blocking. 0: closed or aborted; nullopt: it would block. After an abort nothing is read, so
+  // that unread bytes make the kernel reset the connection and the peer learns that nobody read them.
   std::optional<std::size_t> try_read(char* into, std::size_t size);
   enum class WriteResult { all, partial, none };
-  WriteResult write(std::string_view bytes);  // partial: broken, some may have left; none: nothing has
-  // Writes without waiting and returns the number of bytes accepted; nullopt: the connection is broken. A
-  // lack of buffers does not break it: fewer bytes are accepted, or none.
+  // Blocks until all bytes are written. partial: the connection broke, and some bytes may have been sent;
+  // none: it broke before any byte was sent.
+  WriteResult write(std::string_view bytes);
+  // Writes without blocking and returns the number of bytes accepted; nullopt if the connection is broken. If
+  // the kernel lacks buffers, fewer bytes or none are accepted, and the connection stays open.
   std::optional<std::size_t> try_write(std::string_view bytes);
-  int descriptor() const { return fd_.get(); }  // to wait on; not to be read, written or closed
-  void abort();                                 // any thread; a blocked read or write returns
-  // Has the peer closed its side, or reset the connection, though bytes of it may still be unread?
+  int descriptor() const { return fd_.get(); }  // for polling only
+  void abort();                                 // any thread; unblocks blocked reads and writes
+  // True if the peer has closed its side or reset the connection, even if bytes are still unread.
   bool peer_has_closed() const;
-  // Shuts down the write side, which the peer sees. What it still sends is read and dropped, so that closing
-  // the descriptor does not reset a connection on which responses are on their way.
+  // Shuts down the write side, which the peer sees as the end of the stream. try_read() then discards what
+  // the peer still sends, so that closing the descriptor does not reset a connection whose last responses are
+  // in transit.
   void shutdown_write();
-  bool aborted_locally() {  // by abort(), not by the peer
+  bool aborted_locally() {  // true after abort(), false if only the peer has closed
     const std::lock_guard lock(mutex_);
     return aborted_;
   }
-  // Aborts if no unread bytes have come and `may()` returns true; else false. No read comes between.
-  template <class May>
-  bool abort_if_nothing_unread(May may) {
+  // Aborts and returns true if there are no unread bytes and `may_abort()` returns true. No try_read() can
+  // run between the check and the abort.
+  template <class MayAbort>
+  bool abort_if_nothing_unread(MayAbort may_abort) {
     const std::lock_guard lock(mutex_);
-    if (has_unread_bytes() || !may()) return false;
+    if (has_unread_bytes() || !may_abort()) return false;
     abort_locked();
     return true;
   }
@@ -90,14 +95,14 @@
  private:
   bool has_unread_bytes() const;
   void abort_locked();
-  // As recv() returns it: below 0 with errno, EAGAIN where nothing came by `deadline`.
+  // Returns the result of recv(): -1 with errno set on an error, EAGAIN if `deadline` has passed.
   std::ptrdiff_t receive(char* into, std::size_t size, Time deadline, int flags);
 
   std::mutex mutex_;
   Fd fd_;
   bool aborted_ = false;           // guarded by mutex_
-  bool write_shut_down_ = false;   // guarded by mutex_: shutdown_write() was called
-  bool read_timeout_set_ = false;  // reading thread only: SO_RCVTIMEO is set
+  bool write_shut_down_ = false;   // guarded by mutex_
+  bool read_timeout_set_ = false;  // used by the reading thread only: SO_RCVTIMEO is set
 };
 
 }  // namespace yokestream::net
--- a/src/net/socket_address.h
+++ b/src/net/socket_address.h
@@ -1,4 +1,4 @@
-// An endpoint as the system's calls take it.
+// Converts an endpoint to the address structure of the socket API.
 #pragma once
 
 #include <arpa/inet.h>
--- a/src/net/thread.h
+++ b/src/net/thread.h
@@ -1,4 +1,4 @@
-// A thread with a small stack that is joined when its owner goes.
+// A thread with a given stack size that is joined by its destructor.
 #pragma once
 
 #include <pthread.h>
@@ -10,23 +10,23 @@
 
 namespace yokestream::net {
 
-// Not measured yet; sanitizers need several times as much.
+// Sanitizers need several times as much stack.
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
 constexpr std::size_t kSmallStackBytes = 1024 * 1024;
 constexpr std::size_t kLargeStackBytes = 4 * 1024 * 1024;
 #else
-constexpr std::size_t kSmallStackBytes = 64 * 1024;   // readers and writers
-constexpr std::size_t kLargeStackBytes = 512 * 1024;  // the core, and what parses JSON
+constexpr std::size_t kSmallStackBytes = 64 * 1024;   // pollers, reader threads and the listener
+constexpr std::size_t kLargeStackBytes = 512 * 1024;  // the dispatcher, and threads that parse JSON
 #endif
 
 class Thread {
  public:
   Thread() = default;
-  // `name` shows in the system's lists of threads; 15 characters at most.
-  Thread(const char* name, std::size_t stack, std::function<void()> body) {
+  // `name` is the thread's name in system tools; at most 15 characters.
+  Thread(const char* name, std::size_t stack_bytes, std::function<void()> body) {
     pthread_attr_t attributes;
     pthread_attr_init(&attributes);
-    pthread_attr_setstacksize(&attributes, stack);
+    pthread_attr_setstacksize(&attributes, stack_bytes);
     auto owned = std::make_unique<std::function<void()>>(std::move(body));
     const int error = pthread_create(&thread_, &attributes, &Thread::start, owned.get());
     pthread_attr_destroy(&attributes);
--- a/tests/node/net_crossing_test.cpp
+++ b/tests/node/net_crossing_test.cpp
@@ -163,7 +163,7 @@
 TEST_CASE_FIXTURE(OneOut,
                   "a client stuck inside a message has its open request answered, then it is closed") {
   client.say("\x94");
-  while (running.log.times("stuck inside a message") == 0) {  // an engine that is asked meanwhile, and lives
+  while (running.log.times("incomplete message timed out") == 0) {  // the engine answers its health checks
     REQUIRE(link.until("alive"));
     link.say("*2\r\n$5\r\nalive\r\n$5\r\ngreen\r\n");
   }
--- a/tests/node/net_feed_test.cpp
+++ b/tests/node/net_feed_test.cpp
@@ -38,7 +38,7 @@
   Peer old = first.accept();
   REQUIRE(old.until("Last-Event-ID: 1\r\n"));
   old.say(kGood + event(2, "e2", first.at) + event(3, "e3", first.at) + event(4, "e4", first.at));
-  while (inbox.blocked_writers() == 0)
+  while (inbox.blocked_producers() == 0)
     std::this_thread::yield();  // the watcher holds an event that the queue has no room for
   watcher.watch(second.at);     // returns though nobody takes an event
   // The event that it holds is posted; then it asks the new address for what follows the last one posted.
