--- a/src/net/client_session.cpp
+++ b/src/net/client_session.cpp
@@ -11,7 +11,7 @@
 constexpr int kBurstMessages = 64;
 constexpr Duration kMessageInterval = std::chrono::milliseconds(20);
 
-protocol::Fields quote_fields(const queues::Quote& quote) {
+protocol::Fields quote_fields(const scheduler::Quote& quote) {
   const auto ms = [](Duration d) {
     return std::to_string(std::chrono::ceil<std::chrono::milliseconds>(d).count());
   };
@@ -96,12 +96,12 @@
 }
 
 // The session is not told when a cancelled call ends, so the oldest quotes are dropped.
-void ClientSession::attach_quote(dispatch::CallId call, const queues::Quote& quote) {
+void ClientSession::attach_quote(dispatch::CallId call, const scheduler::Quote& quote) {
   attached_quotes_[call] = quote;
   if (attached_quotes_.size() > kMaxAttachedQuotes) attached_quotes_.erase(attached_quotes_.begin());
 }
 
-void ClientSession::send_quote(dispatch::CallId call, const queues::Quote& quote) {
+void ClientSession::send_quote(dispatch::CallId call, const scheduler::Quote& quote) {
   enqueue_bytes(protocol::encode_result(call, "", quote_fields(quote)));
 }
 
