--- a/src/net/dispatcher_loop.cpp
+++ b/src/net/dispatcher_loop.cpp
@@ -112,8 +112,8 @@
     components_.client_port.add(accepted->id, std::move(accepted->session));
     dispatcher_.handle(now(), dispatch::SessionOpened{accepted->id, accepted->origin});
   } else if (const auto* reloaded = std::get_if<ConfigurationReloaded>(&event)) {
-    dispatcher_.configure(now(), reloaded->door);
-    dispatcher_.configure(now(), reloaded->queues);
+    dispatcher_.configure(now(), reloaded->throttle);
+    dispatcher_.configure(now(), reloaded->scheduler);
     components_.discovery.watch(reloaded->feed);
   } else if (const auto* grant = std::get_if<LoadGrantChanged>(&event)) {
     if (components_.fleet_state) components_.fleet_state->on_load_grant_changed(*grant);
--- a/src/net/events.h
+++ b/src/net/events.h
@@ -25,8 +25,8 @@
 
 struct ConfigurationReloaded {  // the parts of a configuration that take effect without a restart
   std::optional<config::Endpoint> feed;
-  throttle::Settings door;
-  scheduler::Settings queues;
+  throttle::Settings throttle;
+  scheduler::Settings scheduler;
 };
 
 struct LoadGrantChanged {  // the share of the fleet's load that this process may use
