--- a/src/dispatch/admission_stages.cpp
+++ b/src/dispatch/admission_stages.cpp
@@ -13,7 +13,8 @@
 
 constexpr Duration kLogInterval = std::chrono::seconds(10);
 
-// Where the scheduler stands behind the throttle, that one admits more than runs: the scheduler queues it.
+// With a scheduler behind it, the throttle admits more work than the engines can run: the scheduler queues
+// the excess.
 throttle::Settings throttle_settings(const config::Config& config) {
   throttle::Settings settings = config.door;
   if (config.queues.on) settings.room = config.queues.room;
@@ -73,7 +74,7 @@
 
 scheduler::Arrival AdmissionStages::scheduler_arrival(Time now, QueryId query, const RequestReceived& request,
                                                       double cost_s) const {
-  const policy::ClassSettings& cls = class_of(request);
+  const policy::ClassSettings& query_class = class_of(request);
   const double reported_s = request.work ? seconds_of(*request.work) : 0;
   const double estimate_s = cost_s > 0 ? cost_s : reported_s;
   scheduler::Arrival arrival;
@@ -81,11 +82,12 @@
   arrival.member = static_cast<std::size_t>(request.tenant);
   arrival.cls = static_cast<std::size_t>(request.query_class);
   arrival.estimated_work_s = estimate_s;
-  arrival.threads = cls.threads;
+  arrival.threads = query_class.threads;
   arrival.deadline = request.deadline;
-  arrival.wanted = now + cls.latency_objective +
-                   from_seconds(cls.latency_objective_stretch * estimate_s / std::max(1.0, cls.threads));
-  arrival.load = cls.locks_table_group || cls.idempotency != policy::Idempotency::idempotent;
+  arrival.wanted =
+      now + query_class.latency_objective +
+      from_seconds(query_class.latency_objective_stretch * estimate_s / std::max(1.0, query_class.threads));
+  arrival.load = query_class.locks_table_group || query_class.idempotency != policy::Idempotency::idempotent;
   return arrival;
 }
 
@@ -141,7 +143,7 @@
   if (throttle_) log_throttle_metrics();
 }
 
-// The keys are those of the operators' pages.
+// The keys are documented for the operators and must not change.
 void AdmissionStages::log_throttle_metrics() {
   const throttle::Figures f = throttle_->figures();
   if (std::exchange(logged_rejections_, f.turned_away) == f.turned_away) return;
