--- a/src/admin/admin_listener.cpp
+++ b/src/admin/admin_listener.cpp
@@ -110,7 +110,7 @@
   Time retry_at_ = Time::max();
 };
 
-AdminListener::AdminListener(const config::Endpoint& endpoint, const figures::Figures& metrics,
+AdminListener::AdminListener(const config::Endpoint& endpoint, const metrics::Metrics& metrics,
                              std::function<void()> on_first_ready)
     : metrics_(metrics),
       on_first_ready_(std::move(on_first_ready)),
--- a/src/admin/admin_listener.h
+++ b/src/admin/admin_listener.h
@@ -18,7 +18,7 @@
 #include <string>
 
 #include "dispatch/ports.h"
-#include "figures/figures.h"
+#include "metrics/metrics.h"
 #include "net/poller.h"
 #include "protocol/management_call.h"
 
@@ -35,7 +35,7 @@
 
   // Listens from now on; throws std::system_error. `metrics` outlives this. `on_first_ready`: called once, by
   // this listener's thread, before the first `readyz` is answered with success.
-  AdminListener(const config::Endpoint& endpoint, const figures::Figures& metrics,
+  AdminListener(const config::Endpoint& endpoint, const metrics::Metrics& metrics,
                 std::function<void()> on_first_ready);
   ~AdminListener();  // closes all connections; joins
   AdminListener(const AdminListener&) = delete;
@@ -55,7 +55,7 @@
   void add_connection(net::Fd fd);
   void remove_connection(const Connection* connection);
 
-  const figures::Figures& metrics_;
+  const metrics::Metrics& metrics_;
   const std::function<void()> on_first_ready_;
   std::atomic<ServingState> state_{ServingState::starting};  // written by the dispatcher's thread
   std::atomic<bool> drain_requested_{false};                 // written by the poller's thread
--- a/src/base/csv.cpp
+++ b/src/base/csv.cpp
@@ -6,7 +6,8 @@
 
 namespace yokestream::csv {
 
-void read(const std::string& text, std::size_t count, const std::function<void(const Cells&)>& take) {
+void for_each_record(const std::string& text, std::size_t count,
+                     const std::function<void(const Cells&)>& take) {
   std::istringstream in(text);
   int number = 0;
   for (std::string line; std::getline(in, line);) {
@@ -24,7 +25,7 @@
   }
 }
 
-double number(const std::string& cell) {
+double parse_number(const std::string& cell) {
   try {
     std::size_t end = 0;
     const double value = std::stod(cell, &end);
--- a/src/budget_planner/budget_planner.cpp
+++ b/src/budget_planner/budget_planner.cpp
@@ -113,7 +113,7 @@
                                     const std::vector<std::string>& classes,
                                     const std::vector<std::size_t>& team_of) {
   std::vector<Expected> out;
-  csv::read(text, 4, [&](const csv::Cells& cells) {
+  csv::for_each_record(text, 4, [&](const csv::Cells& cells) {
     if (out.empty() && cells[0] == "owner") return;  // the heading
     const auto owner = std::find(owners.begin(), owners.end(), cells[0]);
     const auto cls = std::find(classes.begin(), classes.end(), cells[1]);
@@ -122,8 +122,8 @@
     Expected e;
     e.team = team_of.at(static_cast<std::size_t>(owner - owners.begin()));
     e.cls = static_cast<std::size_t>(cls - classes.begin());
-    e.per_s = csv::number(cells[2]);
-    e.work_s = csv::number(cells[3]);
+    e.per_s = csv::parse_number(cells[2]);
+    e.work_s = csv::parse_number(cells[3]);
     if (!(e.work_s > 0)) throw std::runtime_error("work_s must be above 0");
     out.push_back(e);
   });
--- a/src/dispatch/client_responder.cpp
+++ b/src/dispatch/client_responder.cpp
@@ -16,12 +16,13 @@
   const Duration advised_delay =
       settings.may_send_retry_after ? std::min(retry_after, settings.max_retry_after) : Duration{};
   deps_.clients.send_rejection(request.session, request.call, advised_delay);
-  deps_.metrics.ended(static_cast<std::size_t>(request.query_class), figures::End::refused);
+  deps_.metrics.count_request(static_cast<std::size_t>(request.query_class),
+                              metrics::RequestOutcome::rejected);
   if (deps_.sessions.on_response_sent(deps_.clock.now(), request.session)) close_if_idle(request.session);
 }
 
 void ClientResponder::fail(const RequestReceived& request, std::string_view cause) {
-  deps_.metrics.ended(static_cast<std::size_t>(request.query_class), figures::End::failed);
+  deps_.metrics.count_request(static_cast<std::size_t>(request.query_class), metrics::RequestOutcome::failed);
   fail(BadRequest{request.session, request.call, std::string(cause)});
 }
 
@@ -50,7 +51,8 @@
   deps_.clients.send_result(session, request.received.call,
                             Result{std::move(attempt.response.body), std::move(attempt.memory_reservation)});
   deps_.sessions.on_result_sent(deps_.clock.now(), session);
-  deps_.metrics.ended(static_cast<std::size_t>(request.received.query_class), figures::End::served);
+  deps_.metrics.count_request(static_cast<std::size_t>(request.received.query_class),
+                              metrics::RequestOutcome::served);
   deps_.routes.record_outcome(deps_.clock.now(), request, true);
   close_call(request);
 }
--- a/src/dispatch/client_responder.h
+++ b/src/dispatch/client_responder.h
@@ -12,7 +12,7 @@
 #include "dispatch/policy_event_queue.h"
 #include "dispatch/request_table.h"
 #include "dispatch/route_guard.h"
-#include "figures/figures.h"
+#include "metrics/metrics.h"
 
 namespace yokestream::dispatch {
 
@@ -26,7 +26,7 @@
     RequestTable& requests;
     RouteGuard& routes;
     PolicyEventQueue& policy_events;
-    figures::Figures& metrics;
+    metrics::Metrics& metrics;
   };
   explicit ClientResponder(const Dependencies& dependencies) : deps_(dependencies) {}
 
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -26,7 +26,7 @@
 #include "dispatch/route_guard.h"
 #include "dispatch/service_controller.h"
 #include "dispatch/timer_queue.h"
-#include "figures/figures.h"
+#include "metrics/metrics.h"
 #include "snapshot/learned_state_codec.h"
 #include "yokestream/policy/admission_controller.h"
 
@@ -73,7 +73,7 @@
 
   std::size_t open_requests() const { return requests_.open_call_count(); }
   const ServiceLifecycle& lifecycle() const { return service_.lifecycle(); }
-  figures::Figures& metrics() { return metrics_; }  // any thread may read them during the dispatcher's life
+  metrics::Metrics& metrics() { return metrics_; }  // any thread may read them during the dispatcher's life
   // Returns true if the shutdown is finished: no request is open and no more can arrive. Clients keep sending
   // requests on open connections, so all connections must be closed first, each when it has no open request.
   bool shutdown_complete(Time now) const {
@@ -140,7 +140,7 @@
   RouteGuard routes_;
   AdmissionStages stages_;
   RequestTable requests_;
-  figures::Figures metrics_;
+  metrics::Metrics metrics_;
   ClientResponder responder_;
   ServiceController service_;
   RequestAdmission admission_;
--- a/src/figures/figures.cpp
+++ b/src/metrics/metrics.cpp
@@ -1,4 +1,4 @@
-#include "figures/figures.h"
+#include "metrics/metrics.h"
 
 #include <prometheus/counter.h>
 #include <prometheus/gauge.h>
@@ -7,7 +7,7 @@
 #include <array>
 #include <cmath>
 
-namespace yokestream::figures {
+namespace yokestream::metrics {
 namespace {
 
 constexpr const char* kPrefix = "edge_relay.";
@@ -28,48 +28,48 @@
 
 }  // namespace
 
-struct Figures::Metrics {
+struct Metrics::Impl {
   prometheus::Registry registry;
   std::vector<std::array<prometheus::Counter*, kEnds.size()>> requests;  // by class
   prometheus::Counter* attempts = nullptr;
   prometheus::Gauge *in_flight = nullptr, *known = nullptr, *excluded = nullptr;
 };
 
-Figures::Figures(const std::vector<std::string>& classes) : metrics_(std::make_unique<Metrics>()) {
-  auto& registry = metrics_->registry;
+Metrics::Metrics(const std::vector<std::string>& classes) : impl_(std::make_unique<Impl>()) {
+  auto& registry = impl_->registry;
   auto& requests = prometheus::BuildCounter().Name("requests").Register(registry);
   for (const auto& name : classes) {
-    auto& of_class = metrics_->requests.emplace_back();
+    auto& of_class = impl_->requests.emplace_back();
     for (std::size_t end = 0; end < kEnds.size(); ++end)
       of_class[end] = &requests.Add({{kClass, name}, {kEnd, kEnds[end]}});
   }
-  metrics_->attempts = &prometheus::BuildCounter().Name("attempts").Register(registry).Add({});
+  impl_->attempts = &prometheus::BuildCounter().Name("attempts").Register(registry).Add({});
   const auto gauge = [&](const char* name) {
     return &prometheus::BuildGauge().Name(name).Register(registry).Add({});
   };
-  metrics_->in_flight = gauge("in_flight");
-  metrics_->known = gauge("engines_known");
-  metrics_->excluded = gauge("engines_excluded");
+  impl_->in_flight = gauge("in_flight");
+  impl_->known = gauge("engines_known");
+  impl_->excluded = gauge("engines_excluded");
 }
 
-Figures::~Figures() = default;
+Metrics::~Metrics() = default;
 
-void Figures::ended(std::size_t cls, End end) {
-  metrics_->requests.at(cls)[static_cast<std::size_t>(end)]->Increment();
+void Metrics::count_request(std::size_t query_class, RequestOutcome outcome) {
+  impl_->requests.at(query_class)[static_cast<std::size_t>(outcome)]->Increment();
 }
 
-void Figures::attempt() { metrics_->attempts->Increment(); }
+void Metrics::count_attempt() { impl_->attempts->Increment(); }
 
-void Figures::set_in_flight(std::size_t requests) { metrics_->in_flight->Set(static_cast<double>(requests)); }
+void Metrics::set_in_flight(std::size_t requests) { impl_->in_flight->Set(static_cast<double>(requests)); }
 
-void Figures::set_engines(std::size_t known, std::size_t excluded) {
-  metrics_->known->Set(static_cast<double>(known));
-  metrics_->excluded->Set(static_cast<double>(excluded));
+void Metrics::set_engines(std::size_t known, std::size_t excluded) {
+  impl_->known->Set(static_cast<double>(known));
+  impl_->excluded->Set(static_cast<double>(excluded));
 }
 
-std::string Figures::text() const {
+std::string Metrics::text() const {
   std::string out;
-  for (const auto& family : metrics_->registry.Collect()) {
+  for (const auto& family : impl_->registry.Collect()) {
     for (const auto& metric : family.metric) {
       const auto cls = label(metric, kClass);
       const auto name = cls.empty() ? family.name : family.name + '.' + cls + '.' + label(metric, kEnd);
@@ -80,4 +80,4 @@
   return out;
 }
 
-}  // namespace yokestream::figures
+}  // namespace yokestream::metrics
--- a/src/figures/figures.h
+++ b/src/metrics/metrics.h
@@ -10,18 +10,19 @@
 #include <string>
 #include <vector>
 
-namespace yokestream::figures {
+namespace yokestream::metrics {
 
-enum class End { served, refused, failed };  // of a request, as its client heard it
+enum class RequestOutcome { served, rejected, failed };  // of a request, as its client heard it
 
-class Figures {
+class Metrics {
  public:
-  explicit Figures(const std::vector<std::string>& classes);
-  ~Figures();
+  explicit Metrics(const std::vector<std::string>& classes);
+  ~Metrics();
 
-  void ended(std::size_t cls, End end);      // a request of the class of this position has its final answer
-  void attempt();                            // written whole to an engine
-  void set_in_flight(std::size_t requests);  // taken and not ended
+  void count_request(std::size_t query_class,
+                     RequestOutcome outcome);  // a request of the class of this position has its final answer
+  void count_attempt();                        // written whole to an engine
+  void set_in_flight(std::size_t requests);    // taken and not ended
   void set_engines(std::size_t known, std::size_t excluded);
 
   // All figures, each on a line of its own: `edge_relay.NAME:VALUE|c` for counts, `|g` for what goes up and
@@ -29,8 +30,8 @@
   std::string text() const;
 
  private:
-  struct Metrics;
-  std::unique_ptr<Metrics> metrics_;
+  struct Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace yokestream::figures
+}  // namespace yokestream::metrics
--- a/src/net/engine_connection.cpp
+++ b/src/net/engine_connection.cpp
@@ -17,7 +17,7 @@
 EngineConnection::EngineConnection(dispatch::EngineConnectionId id, const config::Endpoint& endpoint,
                                    Time connect_deadline, const std::vector<std::string>& report_fields,
                                    DispatcherQueue& inbox, Poller& slow_writer_poller,
-                                   figures::Figures& figures)
+                                   metrics::Metrics& metrics)
     : id_(id),
       connect_deadline_(connect_deadline),
       inbox_(inbox),
@@ -27,8 +27,8 @@
       sender_(
           kMaxQueuedBytes, socket_, &EngineConnection::serialize,
           [this] { slow_writer_poller_.add(std::shared_ptr<Pollable>(shared_from_this(), &sender_)); },
-          [&figures](const Item& item) {
-            if (std::holds_alternative<EngineRequest>(item.payload)) figures.attempt();
+          [&metrics](const Item& item) {
+            if (std::holds_alternative<EngineRequest>(item.payload)) metrics.count_attempt();
           },
           [](const Item& item) {
             const auto* request = std::get_if<EngineRequest>(&item.payload);
--- a/src/net/engine_connection.h
+++ b/src/net/engine_connection.h
@@ -10,7 +10,7 @@
 #include <variant>
 #include <vector>
 
-#include "figures/figures.h"
+#include "metrics/metrics.h"
 #include "net/events.h"
 #include "net/poller.h"
 #include "net/sender.h"
@@ -24,7 +24,7 @@
   // calls report the outcome as an event.
   EngineConnection(dispatch::EngineConnectionId id, const config::Endpoint& endpoint, Time connect_deadline,
                    const std::vector<std::string>& report_fields, DispatcherQueue& inbox,
-                   Poller& slow_writer_poller, figures::Figures& figures);
+                   Poller& slow_writer_poller, metrics::Metrics& metrics);
   ~EngineConnection() override;  // aborts the connection
 
   // For the core thread.
--- a/src/standin/deadline.cpp
+++ b/src/standin/deadline.cpp
@@ -26,7 +26,7 @@
 }
 
 Load read_row(const csv::Cells& cells) {
-  const auto number = [&](std::size_t i) { return csv::number(cells[i]); };
+  const auto number = [&](std::size_t i) { return csv::parse_number(cells[i]); };
   Load load;
   load.from = from_seconds(number(0)), load.until = from_seconds(number(1));
   load.member = position(kMemberNames, kMembers, cells[2]);
@@ -45,7 +45,7 @@
 
 std::vector<Load> read_traffic(const std::string& text) {
   std::vector<Load> loads;
-  csv::read(text, 9, [&](const csv::Cells& cells) { loads.push_back(read_row(cells)); });
+  csv::for_each_record(text, 9, [&](const csv::Cells& cells) { loads.push_back(read_row(cells)); });
   return loads;
 }
 
--- a/tests/golden/stored_bytes.cpp
+++ b/tests/golden/stored_bytes.cpp
@@ -4,8 +4,8 @@
 
 #include "base/json.h"
 #include "coordination/load_shares.h"
-#include "figures/figures.h"
 #include "line_hash.h"
+#include "metrics/metrics.h"
 #include "migration/record.h"
 #include "protocol/management_call.h"
 #include "protocol/msgpack_rpc.h"
@@ -74,14 +74,14 @@
 }
 
 std::string telemetry() {
-  figures::Figures figures({"look", "load"});
-  figures.ended(0, figures::End::served);
-  figures.ended(1, figures::End::refused);
-  figures.ended(1, figures::End::failed);
-  figures.attempt();
-  figures.set_in_flight(3);
-  figures.set_engines(5, 2);
-  return protocol::encode_success(figures.text() + "EOT\n");
+  metrics::Metrics metrics({"look", "load"});
+  metrics.count_request(0, metrics::RequestOutcome::served);
+  metrics.count_request(1, metrics::RequestOutcome::rejected);
+  metrics.count_request(1, metrics::RequestOutcome::failed);
+  metrics.count_attempt();
+  metrics.set_in_flight(3);
+  metrics.set_engines(5, 2);
+  return protocol::encode_success(metrics.text() + "EOT\n");
 }
 
 std::string read_file(const std::string& path) {
--- a/tests/node/helper.h
+++ b/tests/node/helper.h
@@ -1,5 +1,5 @@
-// What the tests of the real workload manager share: a seeded source of steps, bytes split anywhere, a
-// configuration, and the core on fake ports and a fake clock.
+// Shared by the tests of the workload manager: a seeded random source, input split at random positions, a
+// configuration, and a dispatcher with fake ports and a fake clock.
 #pragma once
 
 #include <algorithm>
@@ -20,21 +20,22 @@
 using policy::Duration;
 using policy::Time;
 
-class Steps {  // the same seed gives the same steps on every machine
+// The same seed gives the same numbers on every machine.
+class SeededRandom {
  public:
-  explicit Steps(std::uint32_t seed) : engine_(seed) {}
+  explicit SeededRandom(std::uint32_t seed) : engine_(seed) {}
   std::size_t below(std::size_t n) { return engine_() % n; }
 
  private:
   std::mt19937 engine_;
 };
 
-// Feeds `bytes` in random pieces and returns all that the reader yields.
+// Feeds `bytes` to the reader in pieces of random size and returns all messages that it yields.
 template <class Reader>
-auto read_split(Reader& reader, std::string_view bytes, Steps& steps) {
+auto read_split(Reader& reader, std::string_view bytes, SeededRandom& random) {
   std::vector<typename decltype(reader.next())::value_type> out;
   while (!bytes.empty()) {
-    const std::size_t size = 1 + steps.below(std::min<std::size_t>(bytes.size(), 1 + steps.below(40)));
+    const std::size_t size = 1 + random.below(std::min<std::size_t>(bytes.size(), 1 + random.below(40)));
     reader.feed(bytes.substr(0, size));
     bytes.remove_prefix(size);
     while (auto message = reader.next()) out.push_back(std::move(*message));
@@ -42,7 +43,8 @@
   return out;
 }
 
-// Two classes (one that may be repeated, one that may not), one engine `e1` at `engine`, another one `e2`.
+// A configuration with an idempotent class `look`, a non-idempotent class `load` and one engine `e1`, which
+// listens at `engine`.
 inline std::string config_text(const std::string& listen = "127.0.0.1:0",
                                const std::string& engine = "127.0.0.1:7001") {
   return R"({"name":"t","listen":")" + listen + R"(","seed":"2a","limits":{"memory_mb":64,"sockets":256},
@@ -62,84 +64,90 @@
        "RatioSpan":5000000000}}})";
 }
 
-// The core with everything round it recorded. The model beside it knows what is owed and what is out.
-struct Core : dispatch::ClientPort, dispatch::EnginePort, dispatch::Log {
-  enum class Sent { queued, written, stopped };
-  struct Out {
-    dispatch::EngineConnectionId link{};
+// A dispatcher with a fake clock and fake ports that record its calls.
+struct DispatcherHarness : dispatch::ClientPort, dispatch::EnginePort, dispatch::Log {
+  enum class AttemptState { queued, written, stopped };
+  struct Attempt {
+    dispatch::EngineConnectionId connection{};
     std::string id;
-    Sent state = Sent::queued;
+    AttemptState state = AttemptState::queued;
   };
   struct Reply {
     std::string kind, rows;
     Time at{};
   };
 
-  explicit Core(const config::Config& c)
+  explicit DispatcherHarness(const config::Config& c)
       : config(c),
-        core(
+        dispatcher(
             config, now, [](std::int64_t ms) { return Time(Duration(ms * 1000000)); }, budget, *this, *this,
             *this) {
-    hear(dispatch::SessionOpened{dispatch::SessionId{1}});
+    handle(dispatch::SessionOpened{dispatch::SessionId{1}});
   }
 
   config::Config config;
   Time now{Duration(1000s)};
   dispatch::Budget budget{1 << 20};
   std::map<std::pair<dispatch::SessionId, dispatch::CallId>, std::vector<Reply>> replies;
-  std::set<dispatch::SessionId> gone;  // have closed, and the core has not heard of it yet
-  std::set<dispatch::SessionId> busy;  // something has come from them that the core has not heard yet
-  std::set<dispatch::EngineConnectionId> links;
-  std::map<dispatch::EngineConnectionId, std::string> where;
-  std::map<dispatch::AttemptTag, Out> out;
-  std::vector<std::string> said;  // in order: what went to engines
-  std::vector<std::string> notes;
-  dispatch::Dispatcher core;  // last: it uses the rest
+  std::set<dispatch::SessionId> disconnected_sessions;  // closed by the client; SessionClosed still to come
+  std::set<dispatch::SessionId> sessions_with_unread_data;  // received data whose event is still to come
+  std::set<dispatch::EngineConnectionId> connections;
+  std::map<dispatch::EngineConnectionId, std::string> engine_addresses;
+  std::map<dispatch::AttemptTag, Attempt> attempts;  // in flight
+  std::vector<std::string> port_calls;               // to both ports, in order
+  std::vector<std::string> log_lines;
+  dispatch::Dispatcher dispatcher;  // last, because its constructor uses the members above
 
-  void hear(dispatch::Event event) { core.handle(now, std::move(event)); }
-  void pass(Duration time) {  // lets time pass, with every timer at its moment
+  void handle(dispatch::Event event) { dispatcher.handle(now, std::move(event)); }
+  // Advances the clock by `time` and fires every timer at its due time.
+  void advance(Duration time) {
     const Time until = now + time;
-    while (core.next_due() <= until) now = std::max(now, core.next_due()), core.tick(now);
+    while (dispatcher.next_due() <= until) {
+      now = std::max(now, dispatcher.next_due());
+      dispatcher.tick(now);
+    }
     now = until;
   }
-  void arrive(dispatch::CallId call, std::uint32_t cls = 0, Duration left = 4s, int session = 1,
-              std::uint64_t area = 0) {
+  void send_request(dispatch::CallId call, std::uint32_t query_class = 0, Duration time_left = 4s,
+                    int session = 1, std::uint64_t table_group = 0) {
     char id[17];
     std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(call));
-    dispatch::RequestReceived a;
-    a.session = dispatch::SessionId(session), a.call = call, a.request_id = id,
-    a.query_class = policy::ClassId{cls};
-    a.work = Duration(10ms), a.deadline = now + left, a.statement = "select 1";
-    a.table_group = policy::TableGroupId{area};
-    hear(std::move(a));
-  }
-  void answer(const Out& o, ResponseType word, std::uint32_t pages = 1, std::uint32_t page = 0,
-              std::string body = "") {
-    EngineResponse a;
-    a.id = o.id, a.type = word, a.page_count = pages, a.page_index = page, a.body = std::move(body);
-    hear(dispatch::ResponseReceived{o.link, std::move(a)});
-  }
-  void confirm(dispatch::EngineConnectionId link, const std::string& tag) {
-    EngineResponse a;
-    a.id = tag, a.type = ResponseType::pong;
-    hear(dispatch::ResponseReceived{link, a});
-  }
-  void list(const std::string& members) {
-    hear(dispatch::EngineListChanged{
+    dispatch::RequestReceived request;
+    request.session = dispatch::SessionId(session), request.call = call, request.request_id = id;
+    request.query_class = policy::ClassId{query_class};
+    request.work = Duration(10ms), request.deadline = now + time_left, request.statement = "select 1";
+    request.table_group = policy::TableGroupId{table_group};
+    handle(std::move(request));
+  }
+  void respond(const Attempt& attempt, ResponseType type, std::uint32_t page_count = 1,
+               std::uint32_t page_index = 0, std::string body = "") {
+    EngineResponse response;
+    response.id = attempt.id, response.type = type, response.page_count = page_count;
+    response.page_index = page_index, response.body = std::move(body);
+    handle(dispatch::ResponseReceived{attempt.connection, std::move(response)});
+  }
+  void send_pong(dispatch::EngineConnectionId connection, const std::string& tag) {
+    EngineResponse response;
+    response.id = tag, response.type = ResponseType::pong;
+    handle(dispatch::ResponseReceived{connection, response});
+  }
+  void update_engine_list(const std::string& members) {
+    handle(dispatch::EngineListChanged{
         config::decode_members(R"({"n":2,"members":{"all":false,"targets":[)" + members + "]}}")});
   }
-  const std::vector<Reply>& to(dispatch::CallId call, int session = 1) {
+  const std::vector<Reply>& replies_to(dispatch::CallId call, int session = 1) {
     return replies[{dispatch::SessionId(session), call}];
   }
-  Out& only() { return out.rbegin()->second; }  // the attempt sent last
-  Out written() {                               // the same, once its link is up and it has left
-    hear(dispatch::EngineConnected{only().link});
-    only().state = Sent::written;
-    return only();
+  Attempt& last_attempt() { return attempts.rbegin()->second; }
+  // Opens the connection of the last attempt and marks the attempt as written.
+  Attempt write_last_attempt() {
+    handle(dispatch::EngineConnected{last_attempt().connection});
+    last_attempt().state = AttemptState::written;
+    return last_attempt();
   }
 
-  void send_result(dispatch::SessionId s, dispatch::CallId c, dispatch::Result r) override {
-    replies[{s, c}].push_back({"served", r.rows, now});
+  void send_result(dispatch::SessionId s, dispatch::CallId c, dispatch::Result result) override {
+    replies[{s, c}].push_back({"served", result.rows, now});
   }
   void send_rejection(dispatch::SessionId s, dispatch::CallId c, Duration) override {
     replies[{s, c}].push_back({"refused", "", now});
@@ -147,52 +155,57 @@
   void send_failure(dispatch::SessionId s, dispatch::CallId c, std::string_view) override {
     replies[{s, c}].push_back({"failed", "", now});
   }
-  void send_readiness(dispatch::SessionId s, dispatch::CallId c, bool able) override {
-    replies[{s, c}].push_back({able ? "able" : "leaving", "", now});
+  void send_readiness(dispatch::SessionId s, dispatch::CallId c, bool ready) override {
+    replies[{s, c}].push_back({ready ? "ready" : "not ready", "", now});
   }
   void close(dispatch::SessionId s) override {
-    said.push_back("close " + std::to_string(static_cast<int>(s)));
+    port_calls.push_back("close " + std::to_string(static_cast<int>(s)));
   }
   bool close_if_idle(dispatch::SessionId s) override {
-    if (busy.count(s)) return false;
+    if (sessions_with_unread_data.count(s)) return false;
     close(s);
     return true;
   }
   void close_after_responses(dispatch::SessionId s) override {
-    said.push_back("finish " + std::to_string(static_cast<int>(s)));
+    port_calls.push_back("close after responses " + std::to_string(static_cast<int>(s)));
   }
-  bool has_disconnected(dispatch::SessionId s) override { return gone.count(s) > 0; }
-  void connect(dispatch::EngineConnectionId link, const config::Endpoint& at, Time) override {
-    links.insert(link), where[link] = to_string(at), said.push_back("open " + to_string(at));
+  bool has_disconnected(dispatch::SessionId s) override { return disconnected_sessions.count(s) > 0; }
+  void connect(dispatch::EngineConnectionId connection, const config::Endpoint& endpoint, Time) override {
+    connections.insert(connection);
+    engine_addresses[connection] = to_string(endpoint);
+    port_calls.push_back("connect " + to_string(endpoint));
   }
-  void send(dispatch::EngineConnectionId link, dispatch::AttemptTag tag, EngineRequest r) override {
-    out[tag] = {link, r.id, Sent::queued}, said.push_back("req " + r.id);
+  void send(dispatch::EngineConnectionId connection, dispatch::AttemptTag tag,
+            EngineRequest request) override {
+    attempts[tag] = {connection, request.id, AttemptState::queued};
+    port_calls.push_back("send " + request.id);
   }
   bool withdraw(dispatch::EngineConnectionId, dispatch::AttemptTag tag) override {
-    const auto it = out.find(tag);
-    return it != out.end() && it->second.state == Sent::queued && out.erase(tag) > 0;
+    const auto it = attempts.find(tag);
+    return it != attempts.end() && it->second.state == AttemptState::queued && attempts.erase(tag) > 0;
   }
   void cancel(dispatch::EngineConnectionId, std::string_view id) override {
-    said.push_back("stop " + std::string(id));
+    port_calls.push_back("cancel " + std::string(id));
   }
   void ping(dispatch::EngineConnectionId, std::string_view tag) override {
-    said.push_back("hello " + std::string(tag));
+    port_calls.push_back("ping " + std::string(tag));
   }
   void set_priority(dispatch::EngineConnectionId, std::string_view, std::uint32_t) override {}
   void fetch_page(dispatch::EngineConnectionId, std::string_view, std::uint32_t page) override {
-    said.push_back("fetch " + std::to_string(page));
+    port_calls.push_back("fetch " + std::to_string(page));
   }
   void release_result(dispatch::EngineConnectionId, std::string_view id) override {
-    said.push_back("end " + std::string(id));
+    port_calls.push_back("release " + std::string(id));
   }
-  void close(dispatch::EngineConnectionId link) override {  // gives up all that is open on it
-    links.erase(link);
-    for (const auto& [tag, o] : out) {
-      if (o.link == link) said.push_back("given up " + o.id);
+  // Drops all attempts on the connection.
+  void close(dispatch::EngineConnectionId connection) override {
+    connections.erase(connection);
+    for (const auto& [tag, attempt] : attempts) {
+      if (attempt.connection == connection) port_calls.push_back("dropped " + attempt.id);
     }
-    std::erase_if(out, [&](const auto& o) { return o.second.link == link; });
+    std::erase_if(attempts, [&](const auto& entry) { return entry.second.connection == connection; });
   }
-  void write(std::string_view line) override { notes.emplace_back(line); }
+  void write(std::string_view line) override { log_lines.emplace_back(line); }
 };
 
 }  // namespace yokestream::test
--- a/tests/node/net_faults_test.cpp
+++ b/tests/node/net_faults_test.cpp
@@ -37,7 +37,7 @@
 // Some clients that ask and listen in turns; each hears one answer to each request, and no engine sees one
 // more than four times.
 void ask_through(std::uint32_t seed, Fickle& engine, Running& running) {
-  Steps steps(seed);
+  SeededRandom steps(seed);
   std::vector<std::unique_ptr<Asking>> clients;
   for (int i = 0; i < 6; ++i) clients.push_back(std::make_unique<Asking>(running.server->endpoint()));
   std::uint32_t asked = 0;
--- a/tests/node/net_fickle.h
+++ b/tests/node/net_fickle.h
@@ -130,7 +130,7 @@
   std::deque<Due> due_;
   Seen seen_;
   std::atomic<long> requests_{0};
-  Steps steps_;
+  SeededRandom steps_;
   Listening listening_;
   Fd over_;
   std::vector<std::unique_ptr<Peer>> peers_;
--- a/tests/node/net_random_test.cpp
+++ b/tests/node/net_random_test.cpp
@@ -15,7 +15,7 @@
   spared = true;
   for (std::uint32_t seed = 1; seed <= 8; ++seed) {
     CAPTURE(seed);
-    Steps steps(seed);
+    SeededRandom steps(seed);
     Fickle engine(seed);
     Running running(engine.at());
     short_of_all = 10 * (seed % 4);
--- a/tests/node/net_test.cpp
+++ b/tests/node/net_test.cpp
@@ -86,14 +86,14 @@
   Listening engine, gone;
   net::DispatcherQueue inbox(200);
   const std::vector<std::string> fields;
-  figures::Figures figures({});
+  metrics::Metrics metrics({});
   net::Poller engine_poller("engines"), slow_writer_poller("writer");
   const auto before = threads();
   std::vector<std::shared_ptr<net::EngineConnection>> links;
   const auto open = [&](const config::Endpoint& at) {
     const dispatch::EngineConnectionId id{static_cast<std::uint64_t>(links.size())};
     links.push_back(std::make_shared<net::EngineConnection>(id, at, Time::max(), fields, inbox,
-                                                            slow_writer_poller, figures));
+                                                            slow_writer_poller, metrics));
     engine_poller.add(links.back());
   };
   std::vector<std::unique_ptr<Peer>> ends;
--- a/tests/node/protocol_test.cpp
+++ b/tests/node/protocol_test.cpp
@@ -22,7 +22,7 @@
 
 TEST_CASE("MessagePack-RPC: calls, probes and give-ups come out whole, however their bytes are split") {
   for (std::uint32_t seed = 1; seed <= 50; ++seed) {
-    Steps steps(seed);
+    SeededRandom steps(seed);
     std::string bytes;
     std::vector<std::pair<char, std::string>> model;
     for (int i = 0; i < 20; ++i) {
@@ -82,7 +82,7 @@
       std::to_string(body.size()) + "\r\n" + body + "\r\n";
   const std::string green = "*2\r\n$3\r\ntag\r\n$5\r\ngreen\r\n";
   for (std::uint32_t seed = 1; seed <= 50; ++seed) {
-    Steps steps(seed);
+    SeededRandom steps(seed);
     RespReader reader({"queue", "inflight"});
     const auto answers = read_split(reader, served + green + served, steps);
     REQUIRE(answers.size() == 3);
@@ -130,7 +130,7 @@
   std::string chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   for (const char c : events) chunked += std::string("1\r\n") + c + "\r\n";
   for (const auto& bytes : {"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n" + events, chunked}) {
-    Steps steps(3);
+    SeededRandom steps(3);
     SseReader reader;
     const auto out = read_split(reader, bytes, steps);
     REQUIRE(out.size() == 2);
--- a/tests/node/routing_test.cpp
+++ b/tests/node/routing_test.cpp
@@ -30,10 +30,10 @@
   return out;
 }
 
-struct Routed : Core {
-  Routed() : Core(routed()) {
-    list(member("e2", kNew));
-    pass(100ms);
+struct Routed : DispatcherHarness {
+  Routed() : DispatcherHarness(routed()) {
+    update_engine_list(member("e2", kNew));
+    advance(100ms);
   }
   static std::string member(const std::string& uid, const std::string& at) {
     return R"({"uid":")" + uid + R"(","endpoint":")" + at + R"(","az":"z","model":"m","state":"up"})";
@@ -43,12 +43,16 @@
     now_there = table(epoch, moved, loads);
     grant(granted);
   }
-  void grant(Duration granted) { core.apply_routes(now, now_there, now + granted); }
-  void look(dispatch::CallId call) { arrive(call, 0, 4s, 1, kArea); }
-  void load(dispatch::CallId call) { arrive(call, 1, 4s, 1, kArea); }
-  std::string place() { return where[only().link]; }  // of the attempt sent last
-  long count(const std::string& words) const { return std::count(said.begin(), said.end(), words); }
-  std::string told(dispatch::CallId call) { return to(call).empty() ? "nothing" : to(call)[0].kind; }
+  void grant(Duration granted) { dispatcher.apply_routes(now, now_there, now + granted); }
+  void look(dispatch::CallId call) { send_request(call, 0, 4s, 1, kArea); }
+  void load(dispatch::CallId call) { send_request(call, 1, 4s, 1, kArea); }
+  std::string place() { return engine_addresses[last_attempt().connection]; }  // of the attempt sent last
+  long count(const std::string& words) const {
+    return std::count(port_calls.begin(), port_calls.end(), words);
+  }
+  std::string told(dispatch::CallId call) {
+    return replies_to(call).empty() ? "nothing" : replies_to(call)[0].kind;
+  }
 };
 
 TEST_CASE_FIXTURE(Routed, "a movable area is closed until a routing table has come; others are open") {
@@ -56,14 +60,14 @@
   load(2);
   CHECK(told(1) == "refused");
   CHECK(told(2) == "refused");
-  CHECK(out.empty());
-  arrive(3);
-  CHECK(out.size() == 1);
+  CHECK(attempts.empty());
+  send_request(3);
+  CHECK(attempts.size() == 1);
   route(0, 0, Rule::Loads::from);
   look(4);
   CHECK(place() == kOld);
-  arrive(5, 0, 4s, 1, kOther);  // granted, and no rule of it: any engine
-  CHECK(out.size() == 3);
+  send_request(5, 0, 4s, 1, kOther);  // granted, and no rule of it: any engine
+  CHECK(attempts.size() == 3);
 }
 
 TEST_CASE_FIXTURE(Routed, "a share of idempotent requests moves, by request; loads stay where they are") {
@@ -72,10 +76,10 @@
   for (dispatch::CallId call = 1; call <= 400; ++call) {
     look(call);
     moved += place() == kNew;
-    answer(written(), ResponseType::result);
+    respond(write_last_attempt(), ResponseType::result);
     load(1000 + call);
     CHECK(place() == kOld);
-    answer(written(), ResponseType::result);
+    respond(write_last_attempt(), ResponseType::result);
   }
   CHECK(moved > 70);
   CHECK(moved < 130);
@@ -85,16 +89,16 @@
   route(0, 0, Rule::Loads::from);
   look(1);
   CHECK(place() == kOld);
-  list(member("e4", "127.0.0.1:7004"));  // on the old side, too
-  hear(dispatch::EngineDisconnected{only().link, "refused"});
-  pass(100ms);
-  REQUIRE(out.size() == 1);
+  update_engine_list(member("e4", "127.0.0.1:7004"));  // on the old side, too
+  handle(dispatch::EngineDisconnected{last_attempt().connection, "refused"});
+  advance(100ms);
+  REQUIRE(attempts.size() == 1);
   CHECK(place() == "127.0.0.1:7004");
   route(1, Rule::kAllRequests,
         Rule::Loads::from);  // queued still: it is taken back and goes to the other side
   CHECK(place() == kNew);
-  CHECK(core.conforms_to_routes());
-  answer(written(), ResponseType::result);
+  CHECK(dispatcher.conforms_to_routes());
+  respond(write_last_attempt(), ResponseType::result);
   CHECK(told(1) == "served");
 }
 
@@ -102,16 +106,16 @@
                   "loads: closed at once, kept to once the last one has ended, then on the other side") {
   route(0, Rule::kAllRequests, Rule::Loads::from);
   load(1);
-  const Out first = written();
+  const Attempt first = write_last_attempt();
   route(1, Rule::kAllRequests, Rule::Loads::nowhere);
-  CHECK_FALSE(core.conforms_to_routes());  // it is out on the old side
+  CHECK_FALSE(dispatcher.conforms_to_routes());  // it is out on the old side
   load(2);
   CHECK(told(2) == "refused");
   look(3);
   CHECK(place() == kNew);
-  answer(first, ResponseType::result);
+  respond(first, ResponseType::result);
   CHECK(told(1) == "served");
-  CHECK(core.conforms_to_routes());
+  CHECK(dispatcher.conforms_to_routes());
   route(2, Rule::kAllRequests, Rule::Loads::to);
   load(4);
   CHECK(place() == kNew);
@@ -121,51 +125,51 @@
                   "a load whose answer was lost as its area closed is not run again on the other side") {
   route(0, 0, Rule::Loads::from);
   load(1);
-  const Out first = written();
+  const Attempt first = write_last_attempt();
   route(1, 0, Rule::Loads::nowhere);
-  hear(dispatch::EngineDisconnected{first.link, "reset"});
+  handle(dispatch::EngineDisconnected{first.connection, "reset"});
   CHECK(told(1) == "failed");  // it may have run
-  CHECK(core.conforms_to_routes());
+  CHECK(dispatcher.conforms_to_routes());
   route(2, 0, Rule::Loads::to);
-  CHECK(count("req " + first.id) == 1);
+  CHECK(count("send " + first.id) == 1);
 }
 
 TEST_CASE_FIXTURE(Routed, "what is queued in the decision module is rejected at once when its area closes") {
   route(0, 0, Rule::Loads::from, 500ms);
   load(1);
-  const Out first = written();
-  list(R"({"uid":"e1","endpoint":"127.0.0.1:7001","az":"z","model":"m","state":"draining"})");
+  const Attempt first = write_last_attempt();
+  update_engine_list(R"({"uid":"e1","endpoint":"127.0.0.1:7001","az":"z","model":"m","state":"draining"})");
   load(2);
   look(3);
-  pass(400ms);
+  advance(400ms);
   CHECK(told(2) == "nothing");  // its origin drains: they wait
   CHECK(told(3) == "nothing");
-  pass(101ms);  // the grant ends, and nobody renews it
+  advance(101ms);  // the grant ends, and nobody renews it
   CHECK(told(2) == "refused");
   CHECK(told(3) == "refused");
   CHECK(told(1) == "nothing");  // what is out goes on
-  CHECK_FALSE(core.conforms_to_routes());
-  answer(first, ResponseType::result);
+  CHECK_FALSE(dispatcher.conforms_to_routes());
+  respond(first, ResponseType::result);
   CHECK(told(1) == "served");
-  CHECK(core.conforms_to_routes());
+  CHECK(dispatcher.conforms_to_routes());
 }
 
 TEST_CASE_FIXTURE(Routed,
                   "engines that come later are in their origins, and one that goes leaves the others be") {
   route(0, 0, Rule::Loads::to);
-  list(member("e9", "127.0.0.1:7009"));
-  list(R"({"uid":"e2","state":"removed"})");
-  list(member("e3", "127.0.0.1:7003"));
+  update_engine_list(member("e9", "127.0.0.1:7009"));
+  update_engine_list(R"({"uid":"e2","state":"removed"})");
+  update_engine_list(member("e3", "127.0.0.1:7003"));
   load(1);
   CHECK(place() == "127.0.0.1:7003");
-  answer(written(), ResponseType::result);
-  pass(70s);  // e2 is forgotten, and its slot goes to another
-  list(member("e8", "127.0.0.1:7008"));
+  respond(write_last_attempt(), ResponseType::result);
+  advance(70s);  // e2 is forgotten, and its slot goes to another
+  update_engine_list(member("e8", "127.0.0.1:7008"));
   grant(60s);
   for (dispatch::CallId call = 2; call < 10; ++call) {
     load(call);
     CHECK(place() == "127.0.0.1:7003");
-    answer(written(), ResponseType::result);
+    respond(write_last_attempt(), ResponseType::result);
   }
 }
 
@@ -193,17 +197,17 @@
     Routed, "an attempt whose lease ends before it was written ends as never sent, and may be retried") {
   grant(1s);
   load(1);  // a load: it may not run twice
-  const auto first = only().id;
-  CHECK(out.size() == 1);
+  const auto first = last_attempt().id;
+  CHECK(attempts.size() == 1);
   grant(10s);  // renewed: what is sent from here on leaves before that
-  pass(900ms);
-  CHECK(out.size() == 1);
-  CHECK(count("req " + first) == 1);
-  pass(200ms);  // still queued at 1 s: taken back, and as it never ran a load may go again
-  CHECK(count("req " + first) == 2);
-  answer(written(), ResponseType::result);
-  REQUIRE(to(1).size() == 1);
-  CHECK(to(1)[0].kind == "served");
+  advance(900ms);
+  CHECK(attempts.size() == 1);
+  CHECK(count("send " + first) == 1);
+  advance(200ms);  // still queued at 1 s: taken back, and as it never ran a load may go again
+  CHECK(count("send " + first) == 2);
+  respond(write_last_attempt(), ResponseType::result);
+  REQUIRE(replies_to(1).size() == 1);
+  CHECK(replies_to(1)[0].kind == "served");
 }
 
 TEST_CASE_FIXTURE(
@@ -211,14 +215,14 @@
     "an attempt that has left goes on past its grant, and nothing new begins under one that is over") {
   grant(300ms);
   load(1);
-  const Out first = written();
-  pass(400ms);
+  const Attempt first = write_last_attempt();
+  advance(400ms);
   load(2);
-  CHECK(count("req " + first.id) == 1);
-  CHECK(out.size() == 1);
-  answer(first, ResponseType::result);
-  REQUIRE(to(1).size() == 1);
-  CHECK(to(1)[0].kind == "served");
+  CHECK(count("send " + first.id) == 1);
+  CHECK(attempts.size() == 1);
+  respond(first, ResponseType::result);
+  REQUIRE(replies_to(1).size() == 1);
+  CHECK(replies_to(1)[0].kind == "served");
 }
 
 }  // namespace
--- a/tests/node/service_test.cpp
+++ b/tests/node/service_test.cpp
@@ -29,7 +29,7 @@
 
 TEST_CASE("the service states follow their table through random calls and times") {
   for (std::uint32_t seed = 1; seed <= 50; ++seed) {
-    Steps steps(seed);
+    SeededRandom steps(seed);
     ServiceLifecycle service;
     Table table;
     Time now{Duration(1000s)};
@@ -52,116 +52,118 @@
   }
 }
 
-bool said(const Core& c, const std::string& what) {
-  return std::find(c.said.begin(), c.said.end(), what) != c.said.end();
+bool said(const DispatcherHarness& c, const std::string& what) {
+  return std::find(c.port_calls.begin(), c.port_calls.end(), what) != c.port_calls.end();
 }
 
 TEST_CASE("draining closes idle sessions at once, others after their last answer, and rejects late ones") {
-  Core c(config::decode_config(config_text()));
-  c.hear(dispatch::SessionOpened{dispatch::SessionId{2}});
-  c.arrive(1, 0, 4s, 2);
-  c.answer(c.written(), ResponseType::result, 1, 0, "a\tb\tc\n");
-  c.arrive(1);
-  const auto out = c.written();
-  c.hear(dispatch::StartDraining{});
-  c.hear(dispatch::ProbeReceived{dispatch::SessionId{1}, 9});
-  CHECK(c.to(9).back().kind == "leaving");
-  c.pass(300ms);
+  DispatcherHarness c(config::decode_config(config_text()));
+  c.handle(dispatch::SessionOpened{dispatch::SessionId{2}});
+  c.send_request(1, 0, 4s, 2);
+  c.respond(c.write_last_attempt(), ResponseType::result, 1, 0, "a\tb\tc\n");
+  c.send_request(1);
+  const auto out = c.write_last_attempt();
+  c.handle(dispatch::StartDraining{});
+  c.handle(dispatch::ProbeReceived{dispatch::SessionId{1}, 9});
+  CHECK(c.replies_to(9).back().kind == "not ready");
+  c.advance(300ms);
   CHECK(said(c, "close 2"));
   CHECK_FALSE(said(c, "close 1"));
-  c.arrive(2);  // served as usual
-  c.answer(out, ResponseType::result, 1, 0, "a\tb\tc\n");
+  c.send_request(2);  // served as usual
+  c.respond(out, ResponseType::result, 1, 0, "a\tb\tc\n");
   CHECK_FALSE(said(c, "close 1"));  // it has one open still
-  c.answer(c.only(), ResponseType::result, 1, 0, "a\tb\tc\n");
-  CHECK(c.to(2).back().kind == "served");
+  c.respond(c.last_attempt(), ResponseType::result, 1, 0, "a\tb\tc\n");
+  CHECK(c.replies_to(2).back().kind == "served");
   CHECK_FALSE(said(c, "close 1"));  // who asks again at once is not cut off just then
-  c.pass(60ms);
+  c.advance(60ms);
   CHECK(said(c, "close 1"));
-  c.hear(dispatch::SessionClosed{dispatch::SessionId{1}});
-  c.pass(2s);
-  c.hear(dispatch::SessionOpened{dispatch::SessionId{3}});
-  c.arrive(1, 0, 4s, 3);
-  CHECK(c.to(1, 3).back().kind == "refused");
-  c.pass(400ms);
+  c.handle(dispatch::SessionClosed{dispatch::SessionId{1}});
+  c.advance(2s);
+  c.handle(dispatch::SessionOpened{dispatch::SessionId{3}});
+  c.send_request(1, 0, 4s, 3);
+  CHECK(c.replies_to(1, 3).back().kind == "refused");
+  c.advance(400ms);
   CHECK(said(c, "close 3"));
 }
 
 TEST_CASE("resuming, also while draining, is ready within two seconds; a shutdown stays a shutdown") {
-  Core c(config::decode_config(config_text()));
+  DispatcherHarness c(config::decode_config(config_text()));
   for (const Duration when : {0ms, 500ms, 3000ms}) {
-    c.hear(dispatch::StartDraining{});
-    c.pass(when);
-    c.hear(dispatch::Resume{});
-    c.hear(dispatch::Resume{});
-    c.pass(2s);
-    CHECK(c.core.lifecycle().is_ready());
-    c.arrive(1000 + static_cast<dispatch::CallId>(when / 1ms));
-    CHECK(c.to(1000 + static_cast<dispatch::CallId>(when / 1ms)).empty());  // it is out
+    c.handle(dispatch::StartDraining{});
+    c.advance(when);
+    c.handle(dispatch::Resume{});
+    c.handle(dispatch::Resume{});
+    c.advance(2s);
+    CHECK(c.dispatcher.lifecycle().is_ready());
+    c.send_request(1000 + static_cast<dispatch::CallId>(when / 1ms));
+    CHECK(c.replies_to(1000 + static_cast<dispatch::CallId>(when / 1ms)).empty());  // it is out
   }
-  c.hear(dispatch::StartDraining{});
-  c.hear(dispatch::BeginShutdown{});
-  c.hear(dispatch::Resume{});
-  c.pass(2s);
-  CHECK(c.core.lifecycle().is_shutting_down());
+  c.handle(dispatch::StartDraining{});
+  c.handle(dispatch::BeginShutdown{});
+  c.handle(dispatch::Resume{});
+  c.advance(2s);
+  CHECK(c.dispatcher.lifecycle().is_shutting_down());
 }
 
 TEST_CASE("with a successor a shutdown accepts no connection, closes idle ones, and serves what is open") {
-  Core c(config::decode_config(config_text()));
-  c.arrive(1);
-  c.answer(c.written(), ResponseType::result, 1, 0, "a\tb\tc\n");
-  c.hear(dispatch::BeginShutdown{true, 4700ms});
-  CHECK_FALSE(c.core.lifecycle().accepts_connections(c.now));
-  c.pass(1500ms);  // a planned restart without one takes nothing any more by now
-  c.hear(dispatch::SessionOpened{dispatch::SessionId{2}});
-  c.arrive(1, 0, 4s, 2);
-  c.answer(c.written(), ResponseType::result, 1, 0, "a\tb\tc\n");
-  CHECK(c.to(1, 2).back().kind == "served");
-  c.pass(60ms);
+  DispatcherHarness c(config::decode_config(config_text()));
+  c.send_request(1);
+  c.respond(c.write_last_attempt(), ResponseType::result, 1, 0, "a\tb\tc\n");
+  c.handle(dispatch::BeginShutdown{true, 4700ms});
+  CHECK_FALSE(c.dispatcher.lifecycle().accepts_connections(c.now));
+  c.advance(1500ms);  // a planned restart without one takes nothing any more by now
+  c.handle(dispatch::SessionOpened{dispatch::SessionId{2}});
+  c.send_request(1, 0, 4s, 2);
+  c.respond(c.write_last_attempt(), ResponseType::result, 1, 0, "a\tb\tc\n");
+  CHECK(c.replies_to(1, 2).back().kind == "served");
+  c.advance(60ms);
   CHECK(said(c, "close 2"));
 }
 
 TEST_CASE(
     "a request that crosses the close of its connection is answered once, and nothing else is cut off") {
-  Core c(config::decode_config(config_text()));
-  c.arrive(1);
-  c.answer(c.written(), ResponseType::result, 1, 0, "a\tb\tc\n");
-  c.hear(dispatch::BeginShutdown{true, 4700ms});
-  c.pass(60ms);
+  DispatcherHarness c(config::decode_config(config_text()));
+  c.send_request(1);
+  c.respond(c.write_last_attempt(), ResponseType::result, 1, 0, "a\tb\tc\n");
+  c.handle(dispatch::BeginShutdown{true, 4700ms});
+  c.advance(60ms);
   REQUIRE(said(c, "close 1"));
-  c.arrive(2);             // its bytes were read before the close was
-  CHECK(c.to(2).empty());  // it is out
-  c.answer(c.only(), ResponseType::result, 1, 0, "a\tb\tc\n");
-  CHECK(c.to(2).size() == 1);
-  c.hear(dispatch::SessionClosed{dispatch::SessionId{1}});
-  c.pass(4s);
-  CHECK(c.to(2).size() == 1);
-  CHECK(c.core.open_requests() == 0);
+  c.send_request(2);               // its bytes were read before the close was
+  CHECK(c.replies_to(2).empty());  // it is out
+  c.respond(c.last_attempt(), ResponseType::result, 1, 0, "a\tb\tc\n");
+  CHECK(c.replies_to(2).size() == 1);
+  c.handle(dispatch::SessionClosed{dispatch::SessionId{1}});
+  c.advance(4s);
+  CHECK(c.replies_to(2).size() == 1);
+  CHECK(c.dispatcher.open_requests() == 0);
 }
 
 // Random days: what the figures say is what clients and engines counted.
 TEST_CASE("through random events the metrics are what clients received and what is open") {
   for (std::uint32_t seed = 1; seed <= 30; ++seed) {
-    Steps steps(seed);
-    Core c(config::decode_config(config_text()));
+    SeededRandom steps(seed);
+    DispatcherHarness c(config::decode_config(config_text()));
     for (int step = 0; step < 400; ++step) {
       const auto chance = steps.below(10);
       if (chance < 4)
-        c.arrive(static_cast<dispatch::CallId>(step) + 1, steps.below(2),
-                 500ms + 1ms * static_cast<int>(steps.below(3000)));
-      if (chance == 4 && !c.out.empty())
-        c.hear(dispatch::EngineConnected{c.only().link}), c.only().state = Core::Sent::written;
-      if (chance == 5 && !c.out.empty())
-        c.answer(Core::Out(c.only()), ResponseType::result, 1, 0, "a\tb\tc\n");
-      if (chance == 6 && !c.out.empty()) c.answer(Core::Out(c.only()), ResponseType::failed);
-      if (chance == 7) c.pass(1ms * static_cast<int>(steps.below(800)));
-      if (steps.below(40) == 0) c.hear(dispatch::StartDraining{});
-      if (steps.below(40) == 0) c.hear(dispatch::Resume{});
+        c.send_request(static_cast<dispatch::CallId>(step) + 1, steps.below(2),
+                       500ms + 1ms * static_cast<int>(steps.below(3000)));
+      if (chance == 4 && !c.attempts.empty())
+        c.handle(dispatch::EngineConnected{c.last_attempt().connection}),
+            c.last_attempt().state = DispatcherHarness::AttemptState::written;
+      if (chance == 5 && !c.attempts.empty())
+        c.respond(DispatcherHarness::Attempt(c.last_attempt()), ResponseType::result, 1, 0, "a\tb\tc\n");
+      if (chance == 6 && !c.attempts.empty())
+        c.respond(DispatcherHarness::Attempt(c.last_attempt()), ResponseType::failed);
+      if (chance == 7) c.advance(1ms * static_cast<int>(steps.below(800)));
+      if (steps.below(40) == 0) c.handle(dispatch::StartDraining{});
+      if (steps.below(40) == 0) c.handle(dispatch::Resume{});
     }
-    c.pass(250ms);
+    c.advance(250ms);
     std::map<std::string, int> heard;
     for (const auto& [key, replies] : c.replies)
       heard[replies.at(0).kind] += static_cast<int>(replies.size());
-    const std::string text = c.core.metrics().text();
+    const std::string text = c.dispatcher.metrics().text();
     const auto value = [&](const std::string& name) {
       const auto at = text.find("edge_relay." + name + ":");
       REQUIRE(at != std::string::npos);
@@ -169,14 +171,14 @@
     };
     for (const std::string end : {"served", "refused", "failed"})
       CHECK(value("requests.look." + end) + value("requests.load." + end) == heard[end]);
-    CHECK(value("in_flight") == static_cast<int>(c.core.open_requests()));
+    CHECK(value("in_flight") == static_cast<int>(c.dispatcher.open_requests()));
     CHECK(value("engines_known") == 1);
     CHECK(heard["served"] > 0);
   }
 }
 
 TEST_CASE("the operators' words may come in any pieces; all else is a bad call with its cause") {
-  const auto read = [](std::string_view bytes, Steps& steps) {
+  const auto read = [](std::string_view bytes, SeededRandom& steps) {
     protocol::ManagementReader reader;
     while (!bytes.empty()) {
       const std::size_t size = 1 + steps.below(std::min<std::size_t>(bytes.size(), 50));
@@ -185,7 +187,7 @@
     }
     return reader.call();
   };
-  Steps steps(7);
+  SeededRandom steps(7);
   const auto is = [](const auto& call, protocol::ManagementWord word) {
     return call && std::holds_alternative<protocol::ManagementWord>(*call) &&
            std::get<protocol::ManagementWord>(*call) == word;
--- a/tests/node/sessions_test.cpp
+++ b/tests/node/sessions_test.cpp
@@ -3,25 +3,25 @@
 
 #include <algorithm>
 
-#include "core_fixture.h"
+#include "dispatcher_fixture.h"
 
 namespace yokestream::test {
 namespace {
 
-TEST_CASE_FIXTURE(Fixture,
+TEST_CASE_FIXTURE(DispatcherFixture,
                   "a client without a request is closed, one with something open or on its way is not") {
   const auto session = [](int n) { return dispatch::SessionId(n); };
-  arrive(1);
-  for (const int n : {2, 3}) hear(dispatch::SessionOpened{session(n)});
-  busy.insert(session(3));
-  pass(2500ms);
+  send_request(1);
+  for (const int n : {2, 3}) handle(dispatch::SessionOpened{session(n)});
+  sessions_with_unread_data.insert(session(3));
+  advance(2500ms);
   CHECK(count("close 1") + count("close 3") == 0);
   CHECK(count("close 2") == 1);
-  busy.clear();
-  hear(dispatch::ProbeReceived{session(3), 1});
-  pass(5s);
+  sessions_with_unread_data.clear();
+  handle(dispatch::ProbeReceived{session(3), 1});
+  advance(5s);
   CHECK(count("close 3") == 0);
-  pass(2s);
+  advance(2s);
   CHECK(count("close 3") == 1);
 }
 
--- a/tests/node/snapshot_test.cpp
+++ b/tests/node/snapshot_test.cpp
@@ -20,7 +20,7 @@
   }
 };
 
-LearnedState random_value(Steps& steps) {
+LearnedState random_value(SeededRandom& steps) {
   const auto number = [&] { return static_cast<double>(steps.below(1000)) / 8; };
   const auto matrix = [&] { return policy::InterferenceWeights{{number(), number()}, {number(), number()}}; };
   LearnedState l;
@@ -49,7 +49,7 @@
 TEST_CASE("learned state is decoded as it was encoded, with its age") {
   const Names names;
   for (std::uint32_t seed = 1; seed <= 50; ++seed) {
-    Steps steps(seed);
+    SeededRandom steps(seed);
     const LearnedState value = random_value(steps);
     const auto read = snapshot::decode(snapshot::encode(value, names, kThen), names, kThen + 3s);
     REQUIRE(std::holds_alternative<snapshot::RestoredState>(read));
@@ -61,7 +61,7 @@
 // A half-written file, or one of other settings, would give the weights of one class to another.
 TEST_CASE("bytes truncated or corrupt anywhere, of other names or another clock are rejected") {
   const Names names;
-  Steps steps(7);
+  SeededRandom steps(7);
   const std::string bytes = snapshot::encode(random_value(steps), names, kThen);
   const auto rejected = [&](const std::string& read, const config::RealSettings& as, Time now) {
     return std::holds_alternative<snapshot::DecodeError>(snapshot::decode(read, as, now));
@@ -94,7 +94,7 @@
 TEST_CASE_FIXTURE(Shared, "the file holds the last offer; a corrupt file is ignored with one log line") {
   CHECK_FALSE(read().has_value());
   CHECK(notes.empty());  // a missing file is normal
-  Steps steps(3);
+  SeededRandom steps(3);
   const LearnedState value = random_value(steps);
   upgrade::SnapshotHandover handover(path, 0, *this);
   handover.offer(value);
@@ -110,7 +110,7 @@
 // The shared folder may be gone while the process serves: the handover is lost, and nothing else.
 TEST_CASE_FIXTURE(Shared, "a missing folder is neither an error nor a state") {
   upgrade::SnapshotHandover handover("/nowhere/at/all", 0, *this);
-  Steps steps(3);
+  SeededRandom steps(3);
   handover.offer(random_value(steps));
   CHECK_FALSE(upgrade::SnapshotHandover::load("/nowhere/at/all", *this, *this).has_value());
 }
--- a/tests/node/start_times_test.cpp
+++ b/tests/node/start_times_test.cpp
@@ -44,7 +44,7 @@
 
 TEST_CASE("no clock step makes an engine seem warmer than it is by more than a second") {
   for (std::uint32_t seed = 1; seed <= 50; ++seed) {
-    Steps steps(seed);
+    SeededRandom steps(seed);
     Clocks clocks;
     for (int i = 0; i < 100; ++i) {
       clocks.now += 1ms * static_cast<int>(steps.below(5000));
--- a/tests/node/store_test.cpp
+++ b/tests/node/store_test.cpp
@@ -23,7 +23,7 @@
 constexpr auto kCallTimeout = 2s;
 
 TEST_CASE("base64 decodes what it encoded and rejects what is malformed") {
-  Steps steps(1);
+  SeededRandom steps(1);
   for (int i = 0; i < 300; ++i) {
     std::string bytes(steps.below(70), '\0');
     for (char& c : bytes) c = static_cast<char>(steps.below(256));
@@ -35,7 +35,7 @@
 
 TEST_CASE("a malformed reply is an unknown outcome where the call writes and a failure where it reads") {
   const Request txn = Txn{{}, {Put{"k", "v", {}}}, {}}, range = Range{"k", {}, 0};
-  Steps steps(2);
+  SeededRandom steps(2);
   const std::string good =
       R"({"header":{"revision":"7"},"succeeded":true,"responses":[{"response_put":{}}]})";
   CHECK(std::get<Completed>(decode(txn, 200, good)).revision == 7);
--- a/tests/node/throttle_test.cpp
+++ b/tests/node/throttle_test.cpp
@@ -23,7 +23,7 @@
 TEST_CASE(
     "fair queueing: random steps against a plain reference, tags never further apart than one request") {
   for (std::uint32_t seed = 1; seed <= 20; ++seed) {
-    Steps steps(seed);
+    SeededRandom steps(seed);
     const std::size_t members = 2 + steps.below(4), entries = 64;
     FairQueue queue(members, entries);
     std::vector<double> weights;
@@ -83,7 +83,7 @@
 TEST_CASE(
     "fair queueing: members who always ask get work by weight, with a bounded lag, whatever their costs") {
   for (std::uint32_t seed = 1; seed <= 20; ++seed) {
-    Steps steps(seed);
+    SeededRandom steps(seed);
     FairQueue queue(3, 256);
     const double weights[] = {52, 35, 13}, most_cost = 8;
     double gone[3] = {};
@@ -134,7 +134,7 @@
 TEST_CASE("greedy clients get queues of their own; a hundred thousand others cost no memory") {
   const std::size_t members = 3;
   throttle::Clients clients(members, 7);
-  Steps steps(3);
+  SeededRandom steps(3);
   Time now = kStart;
   std::size_t apart = 0, seen = 0;
   for (int i = 0; i < 200'000; ++i) {
