--- a/src/budget_planner/budget_planner.cpp
+++ b/src/budget_planner/budget_planner.cpp
@@ -121,7 +121,7 @@
                                         const std::vector<std::string>& classes,
                                         const std::vector<std::size_t>& team_of) {
   std::vector<TrafficStream> traffic;
-  csv::read(text, 4, [&](const csv::Cells& cells) {
+  csv::for_each_record(text, 4, [&](const csv::Cells& cells) {
     if (traffic.empty() && cells[0] == "owner") return;  // the heading
     const auto owner = std::find(owners.begin(), owners.end(), cells[0]);
     const auto query_class = std::find(classes.begin(), classes.end(), cells[1]);
@@ -130,8 +130,8 @@
     TrafficStream stream;
     stream.team = team_of.at(static_cast<std::size_t>(owner - owners.begin()));
     stream.query_class = static_cast<std::size_t>(query_class - classes.begin());
-    stream.per_s = csv::number(cells[2]);
-    stream.work_s = csv::number(cells[3]);
+    stream.per_s = csv::parse_number(cells[2]);
+    stream.work_s = csv::parse_number(cells[3]);
     if (!(stream.work_s > 0)) throw std::runtime_error("work_s must be above 0");
     traffic.push_back(stream);
   });
--- a/tests/node/throttle_test.cpp
+++ b/tests/node/throttle_test.cpp
@@ -22,7 +22,7 @@
 
 TEST_CASE("fair queue: random operations agree with a plain reference in order, size and earliest expiry") {
   for (std::uint32_t seed = 1; seed <= 20; ++seed) {
-    Steps steps(seed);
+    SeededRandom steps(seed);
     const std::size_t tenants = 2 + steps.below(4), entries = 64;
     FairQueue queue(tenants, entries);
     for (std::size_t tenant = 0; tenant < tenants; ++tenant)
@@ -79,7 +79,7 @@
 
 TEST_CASE("fair queue: backlogged tenants are served by weight with a bounded lag, whatever their costs") {
   for (std::uint32_t seed = 1; seed <= 20; ++seed) {
-    Steps steps(seed);
+    SeededRandom steps(seed);
     FairQueue queue(3, 256);
     const double weights[] = {52, 35, 13}, max_cost = 8;
     double served[3] = {};
@@ -130,7 +130,7 @@
 TEST_CASE("client queues: a heavy hitter gets its own queue; 100,000 other clients take no more memory") {
   const std::size_t tenants = 3;
   throttle::ClientQueues client_queues(tenants, 7);
-  Steps steps(3);
+  SeededRandom steps(3);
   Time now = kStart;
   std::size_t own_queue = 0, total = 0;
   for (int i = 0; i < 200'000; ++i) {
