--- a/src/net/coordination_thread.cpp
+++ b/src/net/coordination_thread.cpp
@@ -14,9 +14,9 @@
 using coordination::FleetMember;
 
 constexpr Duration kTrafficSampleInterval = std::chrono::seconds(1);
-constexpr double kTrafficSampleWeight = 0.1;  // of one sample in the moving average
+constexpr double kTrafficSampleWeight = 0.1;  // of a new sample in the exponential moving average
 
-// After a request's deadline, until the engine has confirmed the stop of its last attempt.
+// An engine confirms within this time after a request's deadline that the last attempt has been stopped.
 constexpr Duration kStopConfirmationTime = std::chrono::milliseconds(1000);
 
 std::optional<migration::MigrationTask> make_migration_task(const config::Config& config) {
@@ -27,9 +27,9 @@
 
 }  // namespace
 
-CoordinationThread::CoordinationThread(const config::Config& config, DispatcherQueue& inbox,
+CoordinationThread::CoordinationThread(const config::Config& config, DispatcherQueue& event_queue,
                                        dispatch::Log& log)
-    : inbox_(inbox),
+    : event_queue_(event_queue),
       log_(log),
       migration_task_(make_migration_task(config)),
       member_(config.fleet, config.name, "1", config.settings.manager_count, now(),
@@ -41,7 +41,7 @@
       wakeup_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
   if (!wakeup_)
     throw std::system_error(errno, std::generic_category(), "cannot start the coordination thread");
-  thread_ = Thread("fleet", kLargeStack, [this] { run(); });
+  thread_ = Thread("fleet", kLargeStackBytes, [this] { run(); });
 }
 
 CoordinationThread::~CoordinationThread() {
@@ -52,17 +52,17 @@
   thread_.join();
 }
 
-void CoordinationThread::applied(std::int64_t epoch) {
+void CoordinationThread::acknowledge_load_shares(std::int64_t epoch) {
   applied_shares_epoch_ = epoch;
   raise_event(wakeup_);
 }
 
-void CoordinationThread::routed(std::int64_t epoch) {
+void CoordinationThread::acknowledge_routes(std::int64_t epoch) {
   applied_routes_epoch_ = epoch;
   raise_event(wakeup_);
 }
 
-void CoordinationThread::tally(const routing::OutcomeTallies& tallies) {
+void CoordinationThread::set_outcome_tallies(const routing::OutcomeTallies& tallies) {
   const std::lock_guard lock(tallies_mutex_);
   tallies_ = tallies;
 }
@@ -72,13 +72,14 @@
   raise_event(wakeup_);
 }
 
-// After leave() it resigns and revokes its lease, as far as the store replies before the end.
+// After leave() the loop runs until the member has resigned and revoked its lease, or the destructor stops
+// it.
 void CoordinationThread::run() {
   bool leave_requested = false;
   while (!stopping_ && !member_.has_left()) {
     const Time time = now();
     if (leaving_ && !std::exchange(leave_requested, true)) member_.begin_leaving();
-    read_core_progress();
+    read_dispatcher_progress();
     sample_traffic(time);
     post_load_grant();
     if (migration_task_) post_routes();
@@ -94,7 +95,7 @@
   }
 }
 
-void CoordinationThread::read_core_progress() {
+void CoordinationThread::read_dispatcher_progress() {
   member_.acknowledge(applied_shares_epoch_);
   if (!migration_task_) return;
   member_.acknowledge(*migration_task_, applied_routes_epoch_);
@@ -121,10 +122,11 @@
   const auto grant = member_.load_grant();
   if (grant == posted_grant_) return;
   posted_grant_ = grant;
-  inbox_.post(LoadGrantChanged{grant});
+  event_queue_.post(LoadGrantChanged{grant});
 }
 
-// Routes are valid as long as this session: without a renewal the core closes the areas by itself.
+// Routes expire with this process's session in the store: without a renewal the dispatcher stops sending
+// requests of movable areas.
 void CoordinationThread::post_routes() {
   const auto& table = migration_task_->routing_table();
   const std::int64_t epoch = table ? table->epoch : -1;
@@ -132,7 +134,7 @@
   if (epoch == posted_routes_epoch_ && until == posted_routes_expiry_) return;
   posted_routes_epoch_ = epoch;
   posted_routes_expiry_ = until;
-  inbox_.post(RoutesChanged{table, until});
+  event_queue_.post(RoutesChanged{table, until});
 }
 
 void CoordinationThread::log_changes() {
@@ -149,7 +151,7 @@
     log_.write("fleet leadership lost: task=shares");
 }
 
-// Closes the watches that ended or whose key is no longer desired, and opens the missing ones.
+// Closes watches that have ended or whose key is no longer desired, and opens those that are missing.
 void CoordinationThread::maintain_watches(Time now) {
   for (std::size_t i = 0; i < watchers_.size(); ++i) {
     const auto slot = static_cast<FleetMember::WatchSlot>(i);
--- a/tests/node/net_feed_test.cpp
+++ b/tests/node/net_feed_test.cpp
@@ -19,7 +19,7 @@
   return text.replace(text.find("\"up\""), 4, "\"" + std::string(state) + "\"");
 }
 
-int number_of(const net::DriverEvent& event) {
+int number_of(const net::LoopEvent& event) {
   return static_cast<int>(
       std::get<dispatch::EngineListChanged>(std::get<dispatch::Event>(event)).event.number);
 }
@@ -38,7 +38,7 @@
   Peer old = first.accept();
   REQUIRE(old.until("Last-Event-ID: 1\r\n"));
   old.say(kGood + event(2, "e2", first.at) + event(3, "e3", first.at) + event(4, "e4", first.at));
-  while (inbox.blocked_writers() == 0)
+  while (inbox.blocked_producers() == 0)
     std::this_thread::yield();  // the watcher holds an event that the queue has no room for
   watcher.watch(second.at);     // returns though nobody takes an event
   // The event that it holds is posted; then it asks the new address for what follows the last one posted.
@@ -46,7 +46,7 @@
   std::optional<Peer> next;
   Fd accepted;
   std::atomic<bool> came{false};
-  net::Thread accepting("accepting", net::kSmallStack, [&] {
+  net::Thread accepting("accepting", net::kSmallStackBytes, [&] {
     accepted = Fd(::accept(second.fd.get(), nullptr, nullptr));
     came = true;
   });
