--- a/tests/node/net_crossing_test.cpp
+++ b/tests/node/net_crossing_test.cpp
@@ -5,8 +5,8 @@
 #include <poll.h>
 #include <sys/socket.h>
 
-#include "net_reading.h"
-#include "net_system.h"
+#include "net_fault_injection.h"
+#include "net_session_fixture.h"
 
 namespace yokestream::test {
 namespace {
@@ -25,7 +25,7 @@
   REQUIRE(::recv(descriptor, &first, 1, MSG_PEEK) == 1);
 }
 
-// The peer's end of the connection, seen without reading.
+// The peer's end of the connection, seen without fixture.
 void wait_for_end(int descriptor) {
   pollfd peer{descriptor, POLLRDHUP, 0};
   while (::poll(&peer, 1, -1) < 1 || (peer.revents & (POLLRDHUP | POLLHUP)) == 0) {
@@ -34,27 +34,28 @@
 
 // One client whose bytes are read when the test says so: as if the process had stood still meanwhile.
 struct HeldClient {
-  Reading reading{0};
-  Listening listening;
-  std::unique_ptr<Peer> client = std::make_unique<Peer>(listening.at);
+  SessionFixture fixture{0};
+  TestListener listening;
+  std::unique_ptr<TestPeer> client = std::make_unique<TestPeer>(listening.endpoint);
   Fd accepted{::accept(listening.fd.get(), nullptr, nullptr)};
   int descriptor = accepted.get();
-  std::shared_ptr<net::ClientSession> session = reading.session(std::move(accepted));
-  std::size_t handed_in() { return reading.inbox.drain_until(net::now()).size(); }
+  std::shared_ptr<net::ClientSession> session = fixture.session(std::move(accepted));
+  std::size_t handed_in() { return fixture.event_queue.drain_until(net::now()).size(); }
 };
 
 TEST_CASE_FIXTURE(HeldClient, "a request given up before it is read is handed to nobody, and others are") {
-  client->say(call(1, "0123456789abcde1", "select 1") + call(2, "0123456789abcde2", "select 2") + give_up(1));
+  client->send(encode_request(1, "0123456789abcde1", "select 1") +
+               encode_request(2, "0123456789abcde2", "select 2") + give_up(1));
   wait_for_bytes(descriptor);
   CHECK((session->on_ready(net::now(), true) == net::Pollable::PollResult::wait_readable));
-  const auto told = reading.inbox.drain_until(net::now());
+  const auto told = fixture.event_queue.drain_until(net::now());
   REQUIRE(told.size() == 1);
   CHECK(std::get<dispatch::RequestReceived>(std::get<dispatch::Event>(told[0])).call == 2);
 }
 
 TEST_CASE_FIXTURE(HeldClient,
                   "a request is handed to nobody once its client has closed, unread though it lay") {
-  client->say(call(1, "0123456789abcde1", "select 1"));
+  client->send(encode_request(1, "0123456789abcde1", "select 1"));
   client.reset();
   wait_for_end(descriptor);
   CHECK((session->on_ready(net::now(), true) == net::Pollable::PollResult::closed));
@@ -62,7 +63,7 @@
 }
 
 TEST_CASE_FIXTURE(HeldClient, "the same where the client's connection is reset") {
-  client->say(call(1, "0123456789abcde1", "select 1"));
+  client->send(encode_request(1, "0123456789abcde1", "select 1"));
   const linger at_once{1, 0};
   ::setsockopt(client->socket.descriptor(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
   client.reset();
@@ -75,8 +76,8 @@
   for (int i = 0; i < 8; ++i) {  // more than the core takes of one client at once
     std::string some;
     for (int n = 1; n <= 5; ++n)
-      some += call(5 * i + n, "0123456789abc" + std::to_string(100 + 5 * i + n), "x");
-    client->say(some);
+      some += encode_request(5 * i + n, "0123456789abc" + std::to_string(100 + 5 * i + n), "x");
+    client->send(some);
   }
   wait_for_bytes(descriptor);
   while (session->on_ready(net::now(), true) != net::Pollable::PollResult::wait_until_due) {
@@ -92,18 +93,18 @@
 // The time that a client has left ran while nobody read it.
 TEST_CASE_FIXTURE(HeldClient, "bytes that came while a client was not read count from the last read") {
   dispatch::Reservation rest;
-  REQUIRE(reading.budget.try_reserve(rest, (1 << 20) - 10));
-  const std::string first = call(1, "0123456789abcde1", "select 1");
-  client->say(first.substr(0, 40));
+  REQUIRE(fixture.budget.try_reserve(rest, (1 << 20) - 10));
+  const std::string first = encode_request(1, "0123456789abcde1", "select 1");
+  client->send(first.substr(0, 40));
   wait_for_bytes(descriptor);
   const Time paused = net::now();
   CHECK((session->on_ready(paused, true) == net::Pollable::PollResult::wait_until_due));
-  client->say(first.substr(40) + call(2, "0123456789abcde2", "select 2"));
+  client->send(first.substr(40) + encode_request(2, "0123456789abcde2", "select 2"));
   wait_for_bytes(descriptor);
   rest = {};
   while (net::now() < paused + 20ms) ::poll(nullptr, 0, 1);  // the wait is what is measured here
   CHECK((session->on_ready(net::now(), false) == net::Pollable::PollResult::wait_readable));
-  const auto told = reading.inbox.drain_until(net::now());
+  const auto told = fixture.event_queue.drain_until(net::now());
   REQUIRE(told.size() == 2);
   for (const auto& event : told)
     CHECK((std::get<dispatch::RequestReceived>(std::get<dispatch::Event>(event)).deadline <= paused + 4s));
@@ -111,7 +112,7 @@
 
 TEST_CASE_FIXTURE(HeldClient,
                   "a client whose reading has stopped and that reads nothing itself is closed in the end") {
-  client->say("\x05");
+  client->send("\x05");
   wait_for_bytes(descriptor);
   const Time stopped = net::now();
   CHECK((session->on_ready(stopped, true) == net::Pollable::PollResult::wait_until_due));
@@ -125,21 +126,21 @@
 }
 
 TEST_CASE_FIXTURE(HeldClient, "a session is not half closed while the core has not handled its message") {
-  client->say(call(1, "0123456789abcde1", "select 1"));
+  client->send(encode_request(1, "0123456789abcde1", "select 1"));
   wait_for_bytes(descriptor);
   CHECK((session->on_ready(net::now(), true) == net::Pollable::PollResult::wait_readable));
   session->close_after_writes_if_settled();
   session->release_message_credit();
   session->send_rejection(1, {});
-  CHECK(client->until("Shed"));  // it was not half closed before
+  CHECK(client->read_until("Shed"));  // it was not half closed before
   session->close_after_writes_if_settled();
-  CHECK_FALSE(client->until("anything"));
+  CHECK_FALSE(client->read_until("anything"));
 }
 
 TEST_CASE("a byte that comes at the close resets no connection upon an answer that is still on its way") {
   const int small = 4096;
-  Listening listening;
-  Peer peer(listening.at);
+  TestListener listening;
+  TestPeer peer(listening.endpoint);
   setsockopt(peer.socket.descriptor(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
   auto socket = std::make_unique<Socket>(Fd(::accept(listening.fd.get(), nullptr, nullptr)));
   const int some = 64 * 1024;
@@ -147,7 +148,7 @@
   const auto taken = socket->try_write(std::string(1 << 20, 'a'));
   REQUIRE(taken.value_or(0) > 8 * small);  // more than the peer has room for: some of it has not reached it
   socket->shutdown_write();
-  peer.say("late");
+  peer.send("late");
   wait_for_bytes(socket->descriptor());
   char bytes[16];
   CHECK_FALSE(socket->try_read(bytes, sizeof bytes).has_value());  // dropped, and no end yet
@@ -160,35 +161,35 @@
 }
 
 // Its client lost what it had open.
-TEST_CASE_FIXTURE(OneOut,
+TEST_CASE_FIXTURE(OneRequestInFlight,
                   "a client stuck inside a message has its open request answered, then it is closed") {
-  client.say("\x94");
-  while (running.log.times("incomplete message timed out") == 0) {  // the engine answers its health checks
-    REQUIRE(link.until("alive"));
-    link.say("*2\r\n$5\r\nalive\r\n$5\r\ngreen\r\n");
+  client.send("\x94");
+  while (running.log.count("incomplete message timed out") == 0) {  // the engine answers its health checks
+    REQUIRE(link.read_until("alive"));
+    link.send("*2\r\n$5\r\nalive\r\n$5\r\ngreen\r\n");
   }
-  link.say("*4\r\n$16\r\n0123456789abcdef\r\n$6\r\nserved\r\n$7\r\ntotal=1\r\n$6\r\na\tb\tc\n\r\n");
-  CHECK(client.until("a\tb\tc\n"));
-  CHECK_FALSE(client.until("anything"));
+  link.send("*4\r\n$16\r\n0123456789abcdef\r\n$6\r\nserved\r\n$7\r\ntotal=1\r\n$6\r\na\tb\tc\n\r\n");
+  CHECK(client.read_until("a\tb\tc\n"));
+  CHECK_FALSE(client.read_until("anything"));
 }
 
-TEST_CASE_FIXTURE(OneOut,
+TEST_CASE_FIXTURE(OneRequestInFlight,
                   "a client whose next bytes are no message has its open request answered all the same") {
-  client.say("\x05");
-  running.log.until("client reading stopped");
-  link.say("*4\r\n$16\r\n0123456789abcdef\r\n$6\r\nserved\r\n$7\r\ntotal=1\r\n$6\r\na\tb\tc\n\r\n");
-  CHECK(client.until("a\tb\tc\n"));
-  CHECK_FALSE(client.until("anything"));
+  client.send("\x05");
+  running.log.wait_for("client reading stopped");
+  link.send("*4\r\n$16\r\n0123456789abcdef\r\n$6\r\nserved\r\n$7\r\ntotal=1\r\n$6\r\na\tb\tc\n\r\n");
+  CHECK(client.read_until("a\tb\tc\n"));
+  CHECK_FALSE(client.read_until("anything"));
 }
 
 // A port that takes connections only when it is told to: those that come meanwhile are not up.
-struct Reluctant : Listening {
+struct Reluctant : TestListener {
   Reluctant() {
     ::listen(fd.get(), 0);
     while (full.size() < 64) {
       full.push_back(std::make_unique<Socket>());
       net::ConnectFailure failure;
-      if (full.back()->start_connect(at, &failure) == Socket::ConnectStatus::connected) continue;
+      if (full.back()->start_connect(endpoint, &failure) == Socket::ConnectStatus::connected) continue;
       pollfd up{full.back()->descriptor(), POLLOUT, 0};
       if (::poll(&up, 1, 50) == 0) return;  // this one waits: the next ones will, too
     }
@@ -200,21 +201,21 @@
   for (const bool may_cancel : {true, false}) {
     CAPTURE(may_cancel);
     Reluctant engine;
-    config::Config config = config::decode_config(config_text("127.0.0.1:0", to_string(engine.at)));
+    config::Config config = config::decode_config(config_text("127.0.0.1:0", to_string(engine.endpoint)));
     config.settings.may_cancel = may_cancel;
     config.real.dial_time = 10s;
-    Notes log;
+    TestLog log;
     net::Server server(config, log);
-    Peer stays(server.endpoint());
+    TestPeer stays(server.endpoint());
     {
-      Peer leaves(server.endpoint());
-      leaves.say(call(1, "0123456789abcde1", "select 1") + probe(2));
-      REQUIRE(leaves.until("\xc3"));  // answered in order: the request waits for its connection
+      TestPeer leaves(server.endpoint());
+      leaves.send(encode_request(1, "0123456789abcde1", "select 1") + probe(2));
+      REQUIRE(leaves.read_until("\xc3"));  // answered in order: the request waits for its connection
     }
-    log.until("client connection closed: open_requests=1 ");
+    log.wait_for("client connection closed: open_requests=1 ");
     engine.full.clear();
-    stays.say(call(1, "0123456789abcde2", "select 2"));
-    std::vector<std::unique_ptr<Peer>> links;
+    stays.send(encode_request(1, "0123456789abcde2", "select 2"));
+    std::vector<std::unique_ptr<TestPeer>> links;
     std::string seen;
     while (seen.find("0123456789abcde2") == std::string::npos) {
       std::vector<pollfd> all{{engine.fd.get(), POLLIN, 0}};
@@ -227,7 +228,7 @@
         if (size == 0) links.erase(links.begin() + static_cast<long>(i));
         seen.append(bytes, size.value_or(0));
       }
-      if (all[0].revents) links.emplace_back(new Peer(engine.accept()));
+      if (all[0].revents) links.emplace_back(new TestPeer(engine.accept()));
     }
     CHECK(seen.find("0123456789abcde1") == std::string::npos);
     server.begin_shutdown();
--- a/tests/node/net_fickle.h
+++ b/tests/node/net_fake_engine.h
@@ -8,19 +8,19 @@
 #include <deque>
 #include <mutex>
 
-#include "net_peers.h"
-#include "net_system.h"
+#include "net_fault_injection.h"
+#include "net_test_peers.h"
 
 namespace yokestream::test {
 
-// The ids of requests in the order in which they came, with their times. Any thread.
-class Seen {
+// The ids of requests in the order in which they received, with their times. Any thread.
+class RequestLog {
  public:
-  void note(const std::string& id) {
+  void record(const std::string& id) {
     const std::lock_guard lock(mutex_);
     all_.emplace_back(net::now(), id);
   }
-  std::vector<std::pair<Time, std::string>> begin_with(const std::string& prefix) const {
+  std::vector<std::pair<Time, std::string>> with_id_prefix(const std::string& prefix) const {
     const std::lock_guard lock(mutex_);
     std::vector<std::pair<Time, std::string>> out;
     for (const auto& one : all_)
@@ -34,55 +34,62 @@
 };
 
 // An engine that answers, refuses, breaks off or reads nothing for a while, at random. One thread of the
-// test's own. `takes`: from a request to its rows, where it serves one.
-class Fickle {
+// test's own. `response_delay`: from a request to its rows, where it serves one.
+class FakeEngine {
  public:
-  explicit Fickle(std::uint32_t seed, bool steady = false, Duration takes = {})
-      : steady_(steady), takes_(takes), steps_(seed), over_(::eventfd(0, EFD_CLOEXEC)) {
+  explicit FakeEngine(std::uint32_t seed, bool always_serves = false, Duration response_delay = {})
+      : always_serves_(always_serves),
+        response_delay_(response_delay),
+        steps_(seed),
+        stop_event_(::eventfd(0, EFD_CLOEXEC)) {
     thread_ = net::Thread("fickle", net::kLargeStackBytes, [this] { run(); });
   }
-  ~Fickle() {
+  ~FakeEngine() {
     const std::uint64_t one = 1;
-    [[maybe_unused]] const auto written = ::write(over_.get(), &one, sizeof one);
+    [[maybe_unused]] const auto written = ::write(stop_event_.get(), &one, sizeof one);
   }
-  config::Endpoint at() const { return listening_.at; }
-  long requests() const { return requests_; }  // read whole so far
-  const Seen& seen() const { return seen_; }
+  config::Endpoint endpoint() const { return listener_.endpoint; }
+  long request_count() const { return request_count_; }  // read whole so far
+  const RequestLog& request_log() const { return request_log_; }
 
  private:
   void run() {
-    spared = true;
+    exempt_from_faults = true;
     while (true) {
-      std::vector<pollfd> all = {{over_.get(), POLLIN, 0}, {listening_.fd.get(), POLLIN, 0}};
+      std::vector<pollfd> all = {{stop_event_.get(), POLLIN, 0}, {listener_.fd.get(), POLLIN, 0}};
       for (const auto& peer : peers_) all.push_back({peer->socket.descriptor(), POLLIN, 0});
       const auto wait =
-          due_.empty() ? Duration{} : std::max(Duration{1}, due_.front().at - net::now());  // 0: for ever
+          delayed_responses_.empty()
+              ? Duration{}
+              : std::max(Duration{1}, delayed_responses_.front().at - net::now());  // 0: for ever
       const timespec left{0, static_cast<long>(wait.count())};
       ::ppoll(all.data(), all.size(), wait == Duration{} ? nullptr : &left, nullptr);
       if (all[0].revents) return;
       for (std::size_t i = peers_.size(); i-- > 0;)
         if (all[i + 2].revents && !read(*peers_[i])) end(i);
-      for (; !due_.empty() && due_.front().at <= net::now(); due_.pop_front())
-        due_.front().peer->socket.write(due_.front().bytes);
-      if (all[1].revents) peers_.emplace_back(new Peer(listening_.accept()));
+      for (; !delayed_responses_.empty() && delayed_responses_.front().at <= net::now();
+           delayed_responses_.pop_front())
+        delayed_responses_.front().peer->socket.write(delayed_responses_.front().bytes);
+      if (all[1].revents) peers_.emplace_back(new TestPeer(listener_.accept()));
     }
   }
   void end(std::size_t i) {
-    std::erase_if(due_, [&](const Due& due) { return due.peer == peers_[i].get(); });
+    std::erase_if(delayed_responses_,
+                  [&](const DelayedResponse& due) { return due.peer == peers_[i].get(); });
     peers_.erase(peers_.begin() + static_cast<long>(i));
   }
   // Whole commands, each a line of its parts; false: the connection goes.
-  bool read(Peer& peer) {
+  bool read(TestPeer& peer) {
     char bytes[4096];
     const auto size = peer.socket.try_read(bytes, sizeof bytes);
     if (size == 0) return false;
-    peer.came.append(bytes, size.value_or(0));
+    peer.received.append(bytes, size.value_or(0));
     while (true) {
       std::size_t at = 0;
       const auto number = [&]() -> std::optional<std::size_t> {
-        const auto end = peer.came.find("\r\n", at);
+        const auto end = peer.received.find("\r\n", at);
         if (end == std::string::npos) return std::nullopt;
-        const auto n = std::stoul(peer.came.substr(at + 1));
+        const auto n = std::stoul(peer.received.substr(at + 1));
         at = end + 2;
         return n;
       };
@@ -90,60 +97,60 @@
       std::vector<std::string> parts;
       while (count && parts.size() < *count) {
         const auto length = number();
-        if (!length || peer.came.size() < at + *length + 2) return true;
-        parts.push_back(peer.came.substr(at, *length));
+        if (!length || peer.received.size() < at + *length + 2) return true;
+        parts.push_back(peer.received.substr(at, *length));
         at += *length + 2;
       }
       if (!count) return true;
-      peer.came.erase(0, at);
+      peer.received.erase(0, at);
       if (!answer(peer, parts)) return false;
     }
   }
-  bool answer(Peer& peer, const std::vector<std::string>& parts) {
+  bool answer(TestPeer& peer, const std::vector<std::string>& parts) {
     const auto say = [&](const char* word, const std::string& fields, const std::string& body) {
       std::string out = "*4\r\n";
       for (const std::string& part : {parts[1], std::string(word), fields, body})
         out += "$" + std::to_string(part.size()) + "\r\n" + part + "\r\n";
-      if (takes_ > Duration{} && std::string_view(word) == "served")
-        return due_.push_back({net::now() + takes_, &peer, std::move(out)}), true;
+      if (response_delay_ > Duration{} && std::string_view(word) == "served")
+        return delayed_responses_.push_back({net::now() + response_delay_, &peer, std::move(out)}), true;
       return peer.socket.write(out) == Socket::WriteResult::all;
     };
     if (parts[0] == "HELO") return say("green", "-", "-");
     if (parts[0] == "FETCH") return say("rows", "index=" + parts[2], "a\tb\t" + parts[1] + "\n");
     if (parts[0] != "REQ") return true;
-    ++requests_;
-    seen_.note(parts[1]);
-    const auto what = steady_ ? 20 : steps_.below(20);
+    ++request_count_;
+    request_log_.record(parts[1]);
+    const auto what = always_serves_ ? 20 : steps_.below(20);
     if (what == 0) return false;
     if (what == 1) return say("crashed", "-", "-");
     if (what <= 3) return say("overload", "-", "-");
     return say("served", what == 4 ? "total=3" : "total=1", "a\tb\t" + parts[1] + "\n");
   }
 
-  struct Due {
+  struct DelayedResponse {
     Time at;
-    Peer* peer;
+    TestPeer* peer;
     std::string bytes;
   };
-  const bool steady_;     // it serves all
-  const Duration takes_;  // under a second
-  std::deque<Due> due_;
-  Seen seen_;
-  std::atomic<long> requests_{0};
+  const bool always_serves_;       // it serves all
+  const Duration response_delay_;  // under a second
+  std::deque<DelayedResponse> delayed_responses_;
+  RequestLog request_log_;
+  std::atomic<long> request_count_{0};
   Steps steps_;
-  Listening listening_;
-  Fd over_;
-  std::vector<std::unique_ptr<Peer>> peers_;
+  TestListener listener_;
+  Fd stop_event_;
+  std::vector<std::unique_ptr<TestPeer>> peers_;
   net::Thread thread_;  // last: it uses the rest
 };
 
 // A client with some requests open. Knows of the answers what it takes to tell them apart.
-struct Asking : Peer {
-  using Peer::Peer;
+struct TestClient : TestPeer {
+  using TestPeer::TestPeer;
   // The size of the value at `at`, as far as answers hold any; 0: not whole.
-  std::size_t value(std::size_t at) const {
-    const auto left = came.size() - std::min(at, came.size());
-    const auto byte = [&](std::size_t i) { return static_cast<std::uint8_t>(came[at + i]); };
+  std::size_t value_size(std::size_t at) const {
+    const auto left = received.size() - std::min(at, received.size());
+    const auto byte = [&](std::size_t i) { return static_cast<std::uint8_t>(received[at + i]); };
     if (left == 0) return 0;
     const auto sized = [&](std::size_t head, std::size_t n) { return left < head + n ? 0 : head + n; };
     const auto wide = [&](std::size_t width) {
@@ -154,7 +161,7 @@
     const auto values = [&](std::size_t head, std::size_t n) {
       std::size_t size = head;
       for (; n > 0; --n) {
-        const auto next = value(at + size);
+        const auto next = value_size(at + size);
         if (next == 0) return std::size_t{0};
         size += next;
       }
@@ -170,12 +177,13 @@
     CHECK((first == 0xc6 || first == 0xdb));
     return sized(5, wide(4));
   }
-  void ask(const std::string& id, std::size_t size) { CHECK(try_ask(id, size)); }
-  bool try_ask(const std::string& id, std::size_t size) {  // false: the connection has ended
-    const int number = ++last;
-    open.insert(number);
-    const std::string statement = "select '" + std::string(size, 'x') + "'" + tail;
-    std::string bytes = call(number, id, "", cls);
+  void send_request(const std::string& id, std::size_t size) { CHECK(try_send_request(id, size)); }
+  bool try_send_request(const std::string& id, std::size_t size) {  // false: the connection has ended
+    const int number = ++last_call;
+    open_calls.insert(number);
+    const std::string statement = "select '" + std::string(size, 'x') + "'" + statement_suffix;
+    ;
+    std::string bytes = encode_request(number, id, "", query_class);
     bytes.resize(bytes.size() - 2);
     bytes += '\xc5';
     bytes += static_cast<char>(statement.size() >> 8);
@@ -183,25 +191,26 @@
     return socket.write(bytes + statement) == Socket::WriteResult::all;
   }
   // Waits for the next answer; false: the connection has ended without one.
-  bool hear() {
+  bool receive_response() {
     char bytes[4096];
-    for (std::size_t size = value(0); size == 0; size = value(0)) {
+    for (std::size_t size = value_size(0); size == 0; size = value_size(0)) {
       const auto got = socket.read_until(bytes, sizeof bytes, Time::max());
       if (got == 0) return false;
-      came.append(bytes, got);
+      received.append(bytes, got);
     }
-    CHECK(came[0] == '\x94');
-    CHECK(came[1] == '\x01');
-    CHECK(open.erase(static_cast<std::uint8_t>(came[2])) == 1);  // one answer each, and to nothing else
-    const auto size = value(0);
-    served = came[3] == '\xc0';  // no error
-    came.erase(0, size);
+    CHECK(received[0] == '\x94');
+    CHECK(received[1] == '\x01');
+    CHECK(open_calls.erase(static_cast<std::uint8_t>(received[2])) ==
+          1);  // one answer each, and to nothing else
+    const auto size = value_size(0);
+    last_served = received[3] == '\xc0';  // no error
+    received.erase(0, size);
     return true;
   }
-  std::string cls = "look", tail;  // of its statements
-  bool served = false;             // was the answer heard last
-  int last = 0;
-  std::set<int> open;
+  std::string query_class = "look", statement_suffix;  // of its statements
+  bool last_served = false;                            // was the answer heard last
+  int last_call = 0;
+  std::set<int> open_calls;
 };
 
 }  // namespace yokestream::test
--- a/tests/node/net_system.cpp
+++ b/tests/node/net_fault_injection.cpp
@@ -1,4 +1,4 @@
-#include "net_system.h"
+#include "net_fault_injection.h"
 
 #include <dlfcn.h>
 #include <netinet/in.h>
@@ -32,26 +32,26 @@
 
 // And one that is short of threads, descriptors and room to watch them: of so many starts in a hundred none
 // comes about, but for threads of the test's own.
-std::atomic<std::uint32_t> short_of_all{0};
-thread_local bool spared = false;
-bool falls_short() {
+std::atomic<std::uint32_t> resource_failure_percent{0};
+thread_local bool exempt_from_faults = false;
+bool resource_call_fails() {
   static std::atomic<std::uint32_t> draws{0};
-  return !spared && (draws++ * 2654435761u >> 8) % 100 < short_of_all;
+  return !exempt_from_faults && (draws++ * 2654435761u >> 8) % 100 < resource_failure_percent;
 }
 extern "C" int pthread_create(pthread_t* thread, const pthread_attr_t* attributes, void* (*body)(void*),
                               void* argument) {
   static const auto real = system_call<decltype(pthread_create)>("pthread_create");
-  return falls_short() ? EAGAIN : real(thread, attributes, body, argument);
+  return resource_call_fails() ? EAGAIN : real(thread, attributes, body, argument);
 }
 namespace {
 // Of the errors that a call may pass with, the next one; 0: it goes through.
 template <std::size_t N>
-int passing_error(const int (&errors)[N]) {
+int transient_error(const int (&errors)[N]) {
   static std::atomic<std::uint32_t> draws{0};
-  if (spared || passing_failures == 0) return 0;
+  if (exempt_from_faults || transient_failure_percent == 0) return 0;
   const std::uint32_t draw = draws++ * 2654435761u >> 8;
-  if (draw % 100 >= passing_failures) return 0;
-  ++failures_met;
+  if (draw % 100 >= transient_failure_percent) return 0;
+  ++injected_failure_count;
   return errors[draw / 100 % N];
 }
 int fail(int error) { return errno = error, -1; }
@@ -64,56 +64,58 @@
 constexpr int kNoReceive[] = {EINTR, EAGAIN, ENOMEM, kShort};
 constexpr int kNoWait[] = {EINTR};
 
-bool leads_to_breaking_port(int fd) {
+bool has_broken_connections_port(int fd) {
   sockaddr_in peer{};
   socklen_t size = sizeof peer;
-  return breaking_port != 0 && ::getpeername(fd, reinterpret_cast<sockaddr*>(&peer), &size) == 0 &&
-         ntohs(peer.sin_port) == breaking_port;
+  return broken_connections_port != 0 && ::getpeername(fd, reinterpret_cast<sockaddr*>(&peer), &size) == 0 &&
+         ntohs(peer.sin_port) == broken_connections_port;
 }
 }  // namespace
-std::atomic<std::uint32_t> passing_failures{0}, breaks{0};
-std::atomic<long> failures_met{0}, polls_cut{0};
-std::atomic<std::uint16_t> breaking_port{0};
-std::atomic<bool> polls_interrupted{false};
+std::atomic<std::uint32_t> transient_failure_percent{0}, connection_break_percent{0};
+std::atomic<long> injected_failure_count{0}, interrupted_poll_count{0};
+std::atomic<std::uint16_t> broken_connections_port{0};
+std::atomic<bool> interrupt_polls{false};
 ConnectFailures connect_failures;
 FileFailures file_failures;
 
 extern "C" int connect(int fd, const sockaddr* address, socklen_t size) {
   static const auto real = system_call<int(int, const sockaddr*, socklen_t)>("connect");
-  if (!spared && connect_failures.left > 0 && connect_failures.left-- > 0) {
+  if (!exempt_from_faults && connect_failures.remaining > 0 && connect_failures.remaining-- > 0) {
     if (connect_failures.error == EINTR) real(fd, address, size);
     return fail(connect_failures.error);
   }
-  const int error = passing_error(kNoConnect);
+  const int error = transient_error(kNoConnect);
   if (error == EINTR) real(fd, address, size);  // interrupted, it goes on by itself
   return error != 0 ? fail(error) : real(fd, address, size);
 }
 extern "C" ssize_t send(int fd, const void* bytes, size_t size, int flags) {
   static const auto real = system_call<ssize_t(int, const void*, size_t, int)>("send");
-  const int error = passing_error(kNoSend);
+  const int error = transient_error(kNoSend);
   if (error == kShort) return real(fd, bytes, 1 + size / 2, flags);
   const bool waits = (flags & MSG_DONTWAIT) == 0;
   return error != 0 && !(waits && error != EINTR) ? fail(error) : real(fd, bytes, size, flags);
 }
 extern "C" int epoll_wait(int epoll, epoll_event* events, int most, int timeout) {
   static const auto real = system_call<int(int, epoll_event*, int, int)>("epoll_wait");
-  const int error = passing_error(kNoWait);
+  const int error = transient_error(kNoWait);
   return error != 0 ? fail(error) : real(epoll, events, most, timeout);
 }
 extern "C" int poll(pollfd* all, nfds_t count, int timeout) {
   static const auto real = system_call<int(pollfd*, nfds_t, int)>("poll");
-  if (polls_interrupted && !spared && timeout != 0) return ++polls_cut, fail(EINTR);
-  const int error = passing_error(kNoWait);
+  if (interrupt_polls && !exempt_from_faults && timeout != 0) return ++interrupted_poll_count, fail(EINTR);
+  const int error = transient_error(kNoWait);
   return error != 0 ? fail(error) : real(all, count, timeout);
 }
 
 namespace {
-bool file_fails() { return file_failures.fails_at > 0 && ++file_failures.calls >= file_failures.fails_at; }
+bool file_fails() {
+  return file_failures.first_failing_call > 0 && ++file_failures.calls >= file_failures.first_failing_call;
+}
 }  // namespace
 extern "C" ssize_t write(int fd, const void* bytes, size_t size) {
   static const auto real = system_call<ssize_t(int, const void*, size_t)>("write");
   const long left = file_failures.bytes_left;
-  if (left < 0 && file_failures.fails_at == 0) return real(fd, bytes, size);
+  if (left < 0 && file_failures.first_failing_call == 0) return real(fd, bytes, size);
   struct stat status {};
   if (::fstat(fd, &status) != 0 || !S_ISREG(status.st_mode)) return real(fd, bytes, size);
   if (file_fails()) return fail(file_failures.error);
@@ -134,24 +136,24 @@
 
 extern "C" int socket(int domain, int type, int protocol) noexcept {
   static const auto real = system_call<int(int, int, int)>("socket");
-  if (falls_short()) return fail(EMFILE);
-  const int error = passing_error(kNoRoom);
+  if (resource_call_fails()) return fail(EMFILE);
+  const int error = transient_error(kNoRoom);
   return error != 0 ? fail(error) : real(domain, type, protocol);
 }
 extern "C" int accept4(int fd, sockaddr* from, socklen_t* size, int flags) {
   static const auto real = system_call<int(int, sockaddr*, socklen_t*, int)>("accept4");
-  if (falls_short()) return fail(EMFILE);
-  const int error = passing_error(kNoAccept);
+  if (resource_call_fails()) return fail(EMFILE);
+  const int error = transient_error(kNoAccept);
   return error != 0 ? fail(error) : real(fd, from, size, flags);
 }
 extern "C" int epoll_ctl(int epoll, int operation, int fd, epoll_event* event) noexcept {
   static const auto real = system_call<int(int, int, int, epoll_event*)>("epoll_ctl");
-  const bool none = operation == EPOLL_CTL_ADD && falls_short();
+  const bool none = operation == EPOLL_CTL_ADD && resource_call_fails();
   return none ? fail(ENOSPC) : real(epoll, operation, fd, event);
 }
 
 // And one whose bounded waits end before their time, while this is set.
-std::atomic<bool> waits_end_early{false};
+std::atomic<bool> bounded_waits_end_early{false};
 extern "C" ssize_t recv(int fd, void* into, size_t size, int flags) {
   static const auto real = system_call<ssize_t(int, void*, size_t, int)>("recv");
   timeval bound{};
@@ -159,13 +161,13 @@
   const bool bounded = (flags & MSG_PEEK) != 0 &&
                        ::getsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &bound, &length) == 0 &&
                        (bound.tv_sec > 0 || bound.tv_usec > 0);
-  if (waits_end_early && bounded) return errno = EAGAIN, -1;
-  if (!spared && leads_to_breaking_port(fd)) {
+  if (bounded_waits_end_early && bounded) return errno = EAGAIN, -1;
+  if (!exempt_from_faults && has_broken_connections_port(fd)) {
     static std::atomic<std::uint32_t> draws{0};
     const std::uint32_t draw = draws++ * 2654435761u >> 8;
-    if (draw % 100 < breaks) return fail(draw % 2 == 0 ? ETIMEDOUT : EHOSTUNREACH);
+    if (draw % 100 < connection_break_percent) return fail(draw % 2 == 0 ? ETIMEDOUT : EHOSTUNREACH);
   }
-  const int error = passing_error(kNoReceive);
+  const int error = transient_error(kNoReceive);
   if (error == kShort) return real(fd, into, 1 + size / 2, flags);
   const bool waits = (flags & MSG_DONTWAIT) == 0;
   return error != 0 && !(waits && error != EINTR) ? fail(error) : real(fd, into, size, flags);
--- a/tests/node/net_faults_test.cpp
+++ b/tests/node/net_faults_test.cpp
@@ -9,8 +9,8 @@
 #include <fstream>
 #include <thread>
 
-#include "net_fickle.h"
-#include "net_reading.h"
+#include "net_fake_engine.h"
+#include "net_session_fixture.h"
 #include "upgrade/snapshot_handover.h"
 
 namespace yokestream::test {
@@ -18,13 +18,13 @@
 
 // Whatever a test does, the next one finds a system that works.
 struct Failing {
-  Failing() { spared = true; }  // the test's own calls
+  Failing() { exempt_from_faults = true; }  // the test's own calls
   ~Failing() {
-    passing_failures = 0, breaks = 0, breaking_port = 0;
-    polls_interrupted = false;
-    connect_failures.left = 0;
-    file_failures.fails_at = 0, file_failures.bytes_left = -1;
-    spared = false;
+    transient_failure_percent = 0, connection_break_percent = 0, broken_connections_port = 0;
+    interrupt_polls = false;
+    connect_failures.remaining = 0;
+    file_failures.first_failing_call = 0, file_failures.bytes_left = -1;
+    exempt_from_faults = false;
   }
 };
 
@@ -36,40 +36,40 @@
 
 // Some clients that ask and listen in turns; each hears one answer to each request, and no engine sees one
 // more than four times.
-void ask_through(std::uint32_t seed, Fickle& engine, Running& running) {
+void ask_through(std::uint32_t seed, FakeEngine& engine, RunningServer& running) {
   Steps steps(seed);
-  std::vector<std::unique_ptr<Asking>> clients;
-  for (int i = 0; i < 6; ++i) clients.push_back(std::make_unique<Asking>(running.server->endpoint()));
+  std::vector<std::unique_ptr<TestClient>> clients;
+  for (int i = 0; i < 6; ++i) clients.push_back(std::make_unique<TestClient>(running.server->endpoint()));
   std::uint32_t asked = 0;
   for (int i = 0; i < 300; ++i) {
-    Asking& client = *clients[steps.below(clients.size())];
-    if (client.open.size() < 6 && steps.below(3) > 0 && client.last < 100) {
-      client.cls = steps.below(4) == 0 ? "load" : "look";
-      client.ask(id_of(seed, ++asked), steps.below(3000));
-    } else if (!client.open.empty()) {
-      REQUIRE(client.hear());
+    TestClient& client = *clients[steps.below(clients.size())];
+    if (client.open_calls.size() < 6 && steps.below(3) > 0 && client.last_call < 100) {
+      client.query_class = steps.below(4) == 0 ? "load" : "look";
+      client.send_request(id_of(seed, ++asked), steps.below(3000));
+    } else if (!client.open_calls.empty()) {
+      REQUIRE(client.receive_response());
     }
   }
   for (const auto& client : clients) {
-    while (!client->open.empty()) REQUIRE(client->hear());
+    while (!client->open_calls.empty()) REQUIRE(client->receive_response());
   }
   for (std::uint32_t number = 1; number <= asked; ++number)
-    REQUIRE(engine.seen().begin_with(id_of(seed, number)).size() <= 4);
+    REQUIRE(engine.request_log().with_id_prefix(id_of(seed, number)).size() <= 4);
 }
 
 TEST_CASE_FIXTURE(Failing, "calls that fail for a moment lose no answer and no connection") {
   for (std::uint32_t seed = 1; seed <= 6; ++seed) {
     CAPTURE(seed);
-    Fickle engine(seed);
-    Running running(engine.at());
-    const long before = failures_met;
-    passing_failures = 10 * (1 + seed % 3);
+    FakeEngine engine(seed);
+    RunningServer running(engine.endpoint());
+    const long before = injected_failure_count;
+    transient_failure_percent = 10 * (1 + seed % 3);
     ask_through(seed, engine, running);
-    passing_failures = 0;
-    CHECK(failures_met > before + 50);
+    transient_failure_percent = 0;
+    CHECK(injected_failure_count > before + 50);
     // No client was closed upon what it had open.
-    CHECK(running.log.times("requests open") == 0);
-    CHECK(running.log.times("open_requests=") == 0);
+    CHECK(running.log.count("requests open") == 0);
+    CHECK(running.log.count("open_requests=") == 0);
   }
 }
 
@@ -77,12 +77,12 @@
                   "connections to engines that break by time-out or an unreachable host lose no answer") {
   for (std::uint32_t seed = 11; seed <= 12; ++seed) {
     CAPTURE(seed);
-    Fickle engine(seed, true);
-    Running running(engine.at());
-    breaking_port = engine.at().port;
-    breaks = 20;
+    FakeEngine engine(seed, true);
+    RunningServer running(engine.endpoint());
+    broken_connections_port = engine.endpoint().port;
+    connection_break_percent = 20;
     ask_through(seed, engine, running);
-    breaks = 0;
+    connection_break_percent = 0;
   }
 }
 
@@ -91,50 +91,50 @@
                   "a lack of ports, routes or buffers for a moment costs no attempt and no good name") {
   for (const int error : {EADDRNOTAVAIL, ENETUNREACH, EAGAIN, ENOBUFS}) {
     CAPTURE(error);
-    Fickle engine(1, true);
-    Running running(engine.at());
+    FakeEngine engine(1, true);
+    RunningServer running(engine.endpoint());
     connect_failures.error = error;
-    connect_failures.left = 12;
-    Asking client(running.server->endpoint());
-    client.ask(id_of(1, 1), 10);
-    REQUIRE(client.hear());
-    CHECK(client.served);
-    CHECK(connect_failures.left <= 0);
-    CHECK(engine.requests() == 1);
-    connect_failures.left = 0;
+    connect_failures.remaining = 12;
+    TestClient client(running.server->endpoint());
+    client.send_request(id_of(1, 1), 10);
+    REQUIRE(client.receive_response());
+    CHECK(client.last_served);
+    CHECK(connect_failures.remaining <= 0);
+    CHECK(engine.request_count() == 1);
+    connect_failures.remaining = 0;
   }
 }
 
 TEST_CASE_FIXTURE(Failing, "a connect that is interrupted goes on by itself, and is not begun again") {
-  Listening engine;
-  Running running(engine.at);
+  TestListener engine;
+  RunningServer running(engine.endpoint);
   connect_failures.error = EINTR;
-  connect_failures.left = 1;
-  Asking client(running.server->endpoint());
-  client.ask(id_of(1, 1), 10);
-  Peer link = engine.accept();
-  CHECK(link.until(id_of(1, 1)));  // on the first connection that came
-  CHECK(connect_failures.left <= 0);
+  connect_failures.remaining = 1;
+  TestClient client(running.server->endpoint());
+  client.send_request(id_of(1, 1), 10);
+  TestPeer link = engine.accept();
+  CHECK(link.read_until(id_of(1, 1)));  // on the first connection that came
+  CHECK(connect_failures.remaining <= 0);
 }
 
 // Another process served there, and this one took its clients before its yes.
 TEST_CASE_FIXTURE(Failing, "a wait that is interrupted is no opened gate: nobody is accepted before") {
-  Reading reading(0);
+  SessionFixture fixture(0);
   dispatch::Budget slots(10);
   net::AcceptGate gate;
-  polls_interrupted = true;
-  net::Listener listener(reading.config, gate, slots, reading.budget, reading.inbox, reading.readers,
-                         reading.log);
-  Peer client(listener.endpoint());
-  const long cut = polls_cut;
-  while (polls_cut < cut + 1000) std::this_thread::yield();
-  CHECK(reading.inbox.drain_until(net::now()).empty());
-  polls_interrupted = false;
+  interrupt_polls = true;
+  net::Listener listener(fixture.config, gate, slots, fixture.budget, fixture.event_queue,
+                         fixture.reader_pool, fixture.log);
+  TestPeer client(listener.endpoint());
+  const long cut = interrupted_poll_count;
+  while (interrupted_poll_count < cut + 1000) std::this_thread::yield();
+  CHECK(fixture.event_queue.drain_until(net::now()).empty());
+  interrupt_polls = false;
   gate.open();
-  const auto told = reading.inbox.drain_until(Time::max());
+  const auto told = fixture.event_queue.drain_until(Time::max());
   REQUIRE(told.size() == 1);
   CHECK(std::holds_alternative<net::ClientAccepted>(told[0]));
-  reading.inbox.close();
+  fixture.event_queue.close();
 }
 
 // ---- the file by which a process hands on what it has learnt
@@ -180,9 +180,9 @@
     for (long call = 1; call <= 4; ++call) {  // write, sync, rename, sync of the folder
       CAPTURE(call);
       write(1);
-      file_failures.calls = 0, file_failures.error = error, file_failures.fails_at = call;
+      file_failures.calls = 0, file_failures.error = error, file_failures.first_failing_call = call;
       write(2);
-      file_failures.fails_at = 0;
+      file_failures.first_failing_call = 0;
       CHECK(held() == (call <= 3 ? 1 : 2));
       write(3);  // the trouble has passed
       CHECK(held() == 3);
--- a/tests/node/net_sender_test.cpp
+++ b/tests/node/net_sender_test.cpp
@@ -2,7 +2,7 @@
 #include <doctest/doctest.h>
 
 #include "net/rate_limiter.h"
-#include "net_peers.h"
+#include "net_test_peers.h"
 
 namespace yokestream::test {
 namespace {
@@ -23,7 +23,7 @@
 // A sender whose peer a poller of its own writes to while it is slow.
 struct Sending {
   explicit Sending(std::size_t bound);
-  Pair pair;
+  SocketPair pair;
   net::Poller slow_writer_poller{"writer"};
   std::shared_ptr<net::Sender<struct Written>> sender;
 };
@@ -43,7 +43,7 @@
                                                     [this] { slow_writer_poller.add(sender); })) {}
 
 TEST_CASE("an expired item is never written, and withdraw() finds it as never sent; the others are written") {
-  Pair pair;
+  SocketPair pair;
   const auto expiry_of = [](const Written& item) { return item.number == 2 ? Time{} : Time::max(); };
   net::Sender<Written> sender(
       1000, pair.socket, serialize, [] {}, {}, expiry_of);
@@ -51,7 +51,7 @@
   CHECK(sender.is_idle() == false);  // not up yet
   sender.open();
   CHECK(sender.is_idle());
-  CHECK(pair.peer.until("<1><3>"));
+  CHECK(pair.peer.read_until("<1><3>"));
   const auto is = [](int n) { return [n](const Written& i) { return i.number == n; }; };
   CHECK_FALSE(sender.withdraw(is(1)));
   CHECK(sender.withdraw(is(2)));
@@ -60,7 +60,7 @@
 
 TEST_CASE("withdraw() finds a request of which the socket has accepted nothing") {
   Sending sending(1000);
-  Pair& pair = sending.pair;
+  SocketPair& pair = sending.pair;
   auto& sender = *sending.sender;
   const auto is = [](int n) { return [n](const Written& i) { return i.number == n; }; };
   CHECK(sender.add({1}, 10));  // not up yet
@@ -74,13 +74,13 @@
   sender.close();
   CHECK_FALSE(sender.add({4}, 10));
   CHECK(sender.withdraw(is(4)));
-  CHECK(pair.peer.until("<2>"));
+  CHECK(pair.peer.read_until("<2>"));
 }
 
 // Found on the bench: the link was reset between its opening and the first write, and the loop held the lock.
 TEST_CASE("a connection that breaks before its queued items are written gives them back without a deadlock") {
   Sending sending(1000);
-  Pair& pair = sending.pair;
+  SocketPair& pair = sending.pair;
   auto& sender = *sending.sender;
   CHECK(sender.add({1}, 10));
   CHECK(sender.add({2}, 10));
@@ -91,7 +91,7 @@
 
 TEST_CASE("add() never waits for a slow peer, all is written in order, and over the bound it is rejected") {
   Sending sending(2000);
-  Pair& pair = sending.pair;
+  SocketPair& pair = sending.pair;
   auto& sender = *sending.sender;
   sender.open();
   CHECK(sender.is_idle());
@@ -101,8 +101,8 @@
   for (int i = 2; i <= 3; ++i) CHECK(sender.add({i}, 900));
   CHECK_FALSE(sender.add({4}, 900));
   sender.close_after_writes();
-  CHECK(pair.peer.until("<1><2><3>"));
-  CHECK_FALSE(pair.peer.until("<4>"));  // and the connection ends
+  CHECK(pair.peer.read_until("<1><2><3>"));
+  CHECK_FALSE(pair.peer.read_until("<4>"));  // and the connection ends
 }
 
 }  // namespace
--- a/tests/node/net_peers.h
+++ b/tests/node/net_test_peers.h
@@ -21,70 +21,70 @@
 using net::Socket;
 
 // The other end of a connection.
-struct Peer {
-  explicit Peer(Fd fd) : socket(std::move(fd)) {}
-  explicit Peer(const config::Endpoint& to) {
+struct TestPeer {
+  explicit TestPeer(Fd fd) : socket(std::move(fd)) {}
+  explicit TestPeer(const config::Endpoint& to) {
     net::ConnectFailure failure;
     REQUIRE(socket.connect(to, Time::max(), &failure));
   }
   // Reads until `what` has come; false: the connection ended first.
-  bool until(const std::string& what) {
+  bool read_until(const std::string& what) {
     char bytes[4096];
     std::size_t from = 0;  // no byte is looked at twice, but for the start of `what`
-    for (std::size_t size = 1; size > 0; came.append(bytes, size)) {
-      if (const auto at = came.find(what, from); at != std::string::npos)
-        return came.erase(0, at + what.size()), true;
-      from = came.size() < what.size() ? 0 : came.size() - what.size();
+    for (std::size_t size = 1; size > 0; received.append(bytes, size)) {
+      if (const auto at = received.find(what, from); at != std::string::npos)
+        return received.erase(0, at + what.size()), true;
+      from = received.size() < what.size() ? 0 : received.size() - what.size();
       size = socket.read_until(bytes, sizeof bytes, Time::max());
     }
     return false;
   }
-  void say(const std::string& bytes) { CHECK(socket.write(bytes) == Socket::WriteResult::all); }
+  void send(const std::string& bytes) { CHECK(socket.write(bytes) == Socket::WriteResult::all); }
   Socket socket;
-  std::string came;
+  std::string received;
 };
 
-struct Listening {
+struct TestListener {
   Fd fd = net::listen_on({"127.0.0.1", 0});
-  config::Endpoint at = net::local_endpoint(fd);
-  Peer accept() { return Peer(Fd(::accept(fd.get(), nullptr, nullptr))); }
+  config::Endpoint endpoint = net::local_endpoint(fd);
+  TestPeer accept() { return TestPeer(Fd(::accept(fd.get(), nullptr, nullptr))); }
 };
 
 // What the program notes, kept; a test may wait for a line.
-class Notes : public dispatch::Log {
+class TestLog : public dispatch::Log {
  public:
   void write(std::string_view line) override {
     const std::lock_guard lock(mutex_);
     lines_.emplace_back(line);
-    news_.notify_all();
+    line_added_.notify_all();
   }
-  void until(const std::string& what) {
+  void wait_for(const std::string& what) {
     std::unique_lock lock(mutex_);
-    news_.wait(lock, [&] { return count(what) > 0; });
+    line_added_.wait(lock, [&] { return count_locked(what) > 0; });
   }
-  long times(const std::string& what) {
+  long count(const std::string& what) {
     const std::lock_guard lock(mutex_);
-    return count(what);
+    return count_locked(what);
   }
 
  private:
-  long count(const std::string& what) const {
+  long count_locked(const std::string& what) const {
     return std::count_if(lines_.begin(), lines_.end(),
                          [&](const std::string& line) { return line.find(what) != std::string::npos; });
   }
   std::mutex mutex_;
-  std::condition_variable news_;
+  std::condition_variable line_added_;
   std::vector<std::string> lines_;
 };
 
-inline std::string event(int number, const std::string& uid, const config::Endpoint& at) {
+inline std::string encode_feed_event(int number, const std::string& uid, const config::Endpoint& at) {
   return "id: " + std::to_string(number) + "\ndata: {\"n\":" + std::to_string(number) +
          R"(,"members":{"all":false,"targets":[{"uid":")" + uid + R"(","endpoint":")" + to_string(at) +
          R"(","az":"z","model":"m","state":"up"}]}})" + "\n\n";
 }
 
-inline std::string call(int number, const std::string& id, const std::string& statement,
-                        const std::string& cls = "look") {
+inline std::string encode_request(int number, const std::string& id, const std::string& statement,
+                                  const std::string& cls = "look") {
   const auto text = [](const std::string& t) { return static_cast<char>(0xa0 | t.size()) + t; };
   std::string out{'\x94', '\x00', static_cast<char>(number)};
   out += text(cls) + "\x92\x83" + text("req") + text(id) + text("timeout") + text("4000") + text("owner") +
@@ -92,40 +92,41 @@
   return out + '\xc4' + static_cast<char>(statement.size()) + statement;
 }
 
-struct Running {
-  explicit Running(const config::Endpoint& engine, const config::Endpoint* feed = nullptr)
+struct RunningServer {
+  explicit RunningServer(const config::Endpoint& engine, const config::Endpoint* feed = nullptr)
       : config(config::decode_config(config_text("127.0.0.1:0", to_string(engine)))) {
     if (feed) config.feed = *feed;
     server.emplace(config, log);
   }
-  ~Running() {
+  ~RunningServer() {
     server->begin_shutdown();
     server->wait();
   }
   config::Config config;
-  Notes log;
+  TestLog log;
   std::optional<net::Server> server;
 };
 
 // One request of one client is out at the engine.
-struct OneOut {
-  OneOut() : link((client.say(call(1, "0123456789abcdef", "select 1")), engine.accept())) {
-    REQUIRE(link.until("select 1"));
+struct OneRequestInFlight {
+  OneRequestInFlight()
+      : link((client.send(encode_request(1, "0123456789abcdef", "select 1")), engine.accept())) {
+    REQUIRE(link.read_until("select 1"));
   }
-  Listening engine;
-  Running running{engine.at};
-  Peer client{running.server->endpoint()};
-  Peer link;
+  TestListener engine;
+  RunningServer running{engine.endpoint};
+  TestPeer client{running.server->endpoint()};
+  TestPeer link;
 };
 
 // A connected pair; what one end writes the other reads only when it is told to.
-struct Pair {
-  Pair() : peer(listening.at), socket(Fd(::accept(listening.fd.get(), nullptr, nullptr))) {
+struct SocketPair {
+  SocketPair() : peer(listening.endpoint), socket(Fd(::accept(listening.fd.get(), nullptr, nullptr))) {
     const int small = 4096;
     setsockopt(socket.descriptor(), SOL_SOCKET, SO_SNDBUF, &small, sizeof small);
   }
-  Listening listening;
-  Peer peer;
+  TestListener listening;
+  TestPeer peer;
   net::Socket socket;
 };
 
--- a/tests/processes/crowd.cpp
+++ b/tests/processes/crowd.cpp
@@ -10,7 +10,7 @@
 constexpr auto kThinks = std::chrono::milliseconds(40);
 
 // Seen before it asks: a client that knows of the end takes a new connection, and nothing crosses.
-bool has_ended(Asking& client) {
+bool has_ended(TestClient& client) {
   char first = 0;
   return ::recv(client.socket.descriptor(), &first, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
 }
@@ -34,22 +34,22 @@
 }
 
 void Crowd::run(int number) {
-  std::unique_ptr<Asking> client;
+  std::unique_ptr<TestClient> client;
   unsigned asked = 0;
   while (!over_) {
     char id[17];
     std::snprintf(id, sizeof id, "%08x%08x", static_cast<unsigned>(number), ++asked);
     bool heard = false;
     for (int tries = 0; tries < 2 && !heard; ++tries) {
-      if (!client || client->last >= 100 || has_ended(*client)) {
-        client = std::make_unique<Asking>(manager_);
-        client->cls = asks_.cls, client->tail = asks_.tail;
+      if (!client || client->last_call >= 100 || has_ended(*client)) {
+        client = std::make_unique<TestClient>(manager_);
+        client->query_class = asks_.cls, client->statement_suffix = asks_.tail;
       }
-      heard = client->try_ask(id, 20) && client->hear();
+      heard = client->try_send_request(id, 20) && client->receive_response();
       if (!heard) client.reset(), ++turned_back;
     }
     lost += !heard;
-    served += heard && client->served;
+    served += heard && client->last_served;
     answered += heard;
     std::this_thread::sleep_for(kThinks);
   }
--- a/tests/processes/crowd.h
+++ b/tests/processes/crowd.h
@@ -10,7 +10,7 @@
 #include <memory>
 #include <vector>
 
-#include "net_fickle.h"
+#include "net_fake_engine.h"
 
 namespace yokestream::test {
 
--- a/tests/processes/door_test.cpp
+++ b/tests/processes/door_test.cpp
@@ -11,23 +11,23 @@
 
 struct Served {
   Folder folder;
-  Fickle engine{0, true};
-  Listening clients;
+  FakeEngine engine{0, true};
+  TestListener clients;
   Program program{folder, config(), clients.fd.get()};
   config::Endpoint door = program.operators();
   Served() { ask_until(door, "readyz", "SUCCESS"); }
 
   std::string config() {
-    std::string text = config_text(to_string(clients.at), to_string(engine.at()));
+    std::string text = config_text(to_string(clients.endpoint), to_string(engine.endpoint()));
     return text.insert(1, R"("management":"127.0.0.1:0",)");
   }
 };
 
 TEST_CASE_FIXTURE(Served,
                   "a real caller is answered though hundreds connect, say nothing, or never come to an end") {
-  std::vector<std::unique_ptr<Peer>> callers;
+  std::vector<std::unique_ptr<TestPeer>> callers;
   for (int i = 0; i < 300; ++i) {
-    callers.push_back(std::make_unique<Peer>(door));
+    callers.push_back(std::make_unique<TestPeer>(door));
     if (i % 3 == 1) callers.back()->socket.write("read");
     if (i % 3 == 2) callers.back()->socket.write(std::string(20'000, 'x'));
     if (i % 50 == 0) CHECK(ask(door, "readyz") == "SUCCESS\n");
@@ -46,24 +46,24 @@
   for (const char* name : {"requests.look.served", "requests.load.failed", "attempts", "in_flight"})
     CHECK(figure(door, name) == 0);
   CHECK(figure(door, "engines_known") == 1);
-  Crowd crowd(clients.at, 4);
+  Crowd crowd(clients.endpoint, 4);
   crowd.wait_for(300);
   crowd.finish();
   const long refused = figure(door, "requests.look.refused"), failed = figure(door, "requests.look.failed");
   CHECK(figure(door, "requests.look.served") == crowd.served);
   CHECK(refused + failed == crowd.answered - crowd.served);
-  CHECK(figure(door, "attempts") == engine.requests());
+  CHECK(figure(door, "attempts") == engine.request_count());
 }
 
 TEST_CASE_FIXTURE(Served,
                   "a drain sends clients away that keep sending; activate has them back; SIGTERM ends it") {
-  Crowd crowd(clients.at, 4);
+  Crowd crowd(clients.endpoint, 4);
   crowd.wait_for(50);
-  Peer idle(clients.at);
+  TestPeer idle(clients.endpoint);
   CHECK(ask(door, "evacuate") == "SUCCESS\n");
   CHECK(ask(door, "readyz").rfind("FAILURE", 0) == 0);
-  CHECK_FALSE(idle.until("anything"));  // closed, though it never asked
-  crowd.wait_for(20);                   // new connections are served while it drains
+  CHECK_FALSE(idle.read_until("anything"));  // closed, though it never asked
+  crowd.wait_for(20);                        // new connections are served while it drains
   CHECK(ask(door, "activate") == "SUCCESS\n");
   ask_until(door, "readyz", "SUCCESS");
   crowd.wait_for(50);
--- a/tests/processes/duty_memory.cpp
+++ b/tests/processes/duty_memory.cpp
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <fstream>
 
-#include "net_fickle.h"
+#include "net_fake_engine.h"
 #include "program.h"
 #include "standin/store_server.h"
 
@@ -34,11 +34,11 @@
   using namespace yokestream::test;
   doctest::Context context;
   context.setAsDefaultForAssertsOutOfTestCases();
-  Fickle engine(0, true);
+  FakeEngine engine(0, true);
   yokestream::standin::StoreServer store;
-  const long off = resident(engine.at(), ""), none = resident(engine.at(), "{}");
+  const long off = resident(engine.endpoint(), ""), none = resident(engine.endpoint(), "{}");
   const std::string text = R"({fleet: {on: true, store: [")" + to_string(store.endpoint()) + R"("]}})";
-  const long on = resident(engine.at(), text, true);
+  const long on = resident(engine.endpoint(), text, true);
   std::printf(
       "resident: %ld KB without an operator file, %ld KB with an empty one, %ld KB with the part on\n", off,
       none, on);
--- a/tests/processes/fleet_store_test.cpp
+++ b/tests/processes/fleet_store_test.cpp
@@ -88,7 +88,7 @@
 }
 
 TEST_CASE("a foreign form and an unreadable record are told and left alone; clients are served") {
-  Fickle engine(0, true);
+  FakeEngine engine(0, true);
   standin::StoreServer server;
   for (const auto& [key, words] :
        {std::pair{kNames.format(), "the store holds another form under /yokestream/"},
@@ -98,7 +98,7 @@
       model = StoreModel();
       model.handle(net::now(), store::Txn{{}, {store::Put{at, "another program's", {}}}, {}});
     });
-    Manager manager(server.endpoint(), engine.at(), "n0");
+    Manager manager(server.endpoint(), engine.endpoint(), "n0");
     Crowd crowd(manager.program->serves_on(), 2);
     CHECK(manager.program->until(words));
     crowd.wait_for(20);
--- a/tests/processes/migration_files_test.cpp
+++ b/tests/processes/migration_files_test.cpp
@@ -29,7 +29,7 @@
   CHECK(fleet("propose", plan("fourth", 100, to(17, "new", "old")), 1).status == 0);
   wait_for_end("fourth");
   CHECK(ended("fourth") == "done");
-  const auto came = [&] { return engine.seen().begin_with(kLoadIds).size(); };
+  const auto came = [&] { return engine.request_log().with_id_prefix(kLoadIds).size(); };
   const auto before = came();
   while (came() == before) std::this_thread::yield();  // loads go to the old side again
   clients.finish();
--- a/tests/processes/migration_test.cpp
+++ b/tests/processes/migration_test.cpp
@@ -11,11 +11,11 @@
   propose(one_area(300));
   wait_for_end();
   CHECK(ended() == "done");
-  const long came = static_cast<long>(engine.seen().begin_with(kLoadIds).size());
+  const long came = static_cast<long>(engine.request_log().with_id_prefix(kLoadIds).size());
   wait_for_new_side();
   clients.looks.wait_for(10);
   clients.finish(), more.finish();
-  CHECK(static_cast<long>(engine.seen().begin_with(kLoadIds).size()) == came);
+  CHECK(static_cast<long>(engine.request_log().with_id_prefix(kLoadIds).size()) == came);
   check_loads();
   for (const auto* c : {&clients, &more})
     for (const auto* crowd : {&c->looks, &c->loads, &c->others}) CHECK(crowd->lost == 0);
--- a/tests/processes/moving.h
+++ b/tests/processes/moving.h
@@ -23,8 +23,8 @@
 }
 
 struct Second {
-  Fickle new_engine{1, true};
-  config::Endpoint at = new_engine.at();
+  FakeEngine new_engine{1, true};
+  config::Endpoint at = new_engine.endpoint();
 };
 
 struct Moving : Second, ThreeManagers {
@@ -79,8 +79,8 @@
   }
   // No load came twice, and none came to the old side after one had come to the new one.
   void check_loads() {
-    auto old_side = engine.seen().begin_with(kLoadIds);
-    auto new_side = new_engine.seen().begin_with(kLoadIds);
+    auto old_side = engine.request_log().with_id_prefix(kLoadIds);
+    auto new_side = new_engine.request_log().with_id_prefix(kLoadIds);
     std::set<std::string> ids;
     for (const auto* side : {&old_side, &new_side})
       for (const auto& [time, id] : *side) CHECK(ids.insert(id).second);
@@ -92,7 +92,7 @@
   Time begun{};
   void wait_for_new_side() {  // a load has come there, whatever else was refused meanwhile
     const auto came = [&] {
-      const auto all = new_engine.seen().begin_with(kLoadIds);
+      const auto all = new_engine.request_log().with_id_prefix(kLoadIds);
       return !all.empty() && all.back().first >= begun;
     };
     while (!came()) std::this_thread::yield();
--- a/tests/processes/running_measure.cpp
+++ b/tests/processes/running_measure.cpp
@@ -50,10 +50,10 @@
 // Rounds of replacing the one process that serves: beside it (an upgrade), or after its end.
 Sums play(Way way, std::uint32_t seed, Duration time) {
   Folder folder;
-  Listening clients;
-  Fickle engine(seed, true, kTakes);
-  const std::string text =
-      config_text(to_string(clients.at), to_string(engine.at())).insert(1, R"("management":"127.0.0.1:0",)");
+  TestListener clients;
+  FakeEngine engine(seed, true, kTakes);
+  const std::string text = config_text(to_string(clients.endpoint), to_string(engine.endpoint()))
+                               .insert(1, R"("management":"127.0.0.1:0",)");
   Sums sums;
   int starts = 0;
   const auto start = [&] {
@@ -63,7 +63,7 @@
     return program;
   };
   auto serving = start();
-  Crowd crowd(clients.at, 12);
+  Crowd crowd(clients.endpoint, 12);
   for (const Time until = now() + time; now() < until; ++sums.rounds) {
     crowd.wait_for(kRound);
     const long unserved = crowd.answered - crowd.served;
--- a/tests/processes/three_managers.h
+++ b/tests/processes/three_managers.h
@@ -67,7 +67,7 @@
 struct ThreeManagers {
   explicit ThreeManagers(const std::string& more = "", const config::Endpoint* second = nullptr) {
     for (const char* name : {"n0", "n1", "n2"})
-      managers.push_back(std::make_unique<Manager>(server.endpoint(), engine.at(), name, more, second));
+      managers.push_back(std::make_unique<Manager>(server.endpoint(), engine.endpoint(), name, more, second));
     wait_for_all(3);
   }
   // What stands in the store, replayed against the rules.
@@ -103,7 +103,7 @@
   Program& program(std::size_t i) { return *managers[i]->program; }
   Link& link(std::size_t i) { return managers[i]->link; }
 
-  Fickle engine{0, true};
+  FakeEngine engine{0, true};
   standin::StoreServer server;
   std::vector<std::unique_ptr<Manager>> managers;
 };
--- a/tests/processes/upgrade_test.cpp
+++ b/tests/processes/upgrade_test.cpp
@@ -18,9 +18,9 @@
 
 struct Site {
   Folder folder;
-  Listening clients;  // the platform's socket
-  Fickle engine{0, true};
-  std::string text = with_admin(config_text(to_string(clients.at), to_string(engine.at())));
+  TestListener clients;  // the platform's socket
+  FakeEngine engine{0, true};
+  std::string text = with_admin(config_text(to_string(clients.endpoint), to_string(engine.endpoint())));
 
   static std::string with_admin(std::string text) { return text.insert(1, R"("management":"127.0.0.1:0",)"); }
   std::unique_ptr<Program> start() { return std::make_unique<Program>(folder, text, clients.fd.get()); }
@@ -30,7 +30,7 @@
 struct Upgrade : Site {
   std::unique_ptr<Program> predecessor = start();
   config::Endpoint predecessor_admin = predecessor->operators();
-  Crowd crowd{clients.at, 6};
+  Crowd crowd{clients.endpoint, 6};
   std::unique_ptr<Program> successor;
   config::Endpoint successor_admin;
   Upgrade() {
@@ -173,7 +173,7 @@
   const auto at = program->said().find(words);
   CHECK(at != std::string::npos);
   CHECK(program->said().find(words, at + 1) == std::string::npos);
-  Crowd crowd(site.clients.at, 2);
+  Crowd crowd(site.clients.endpoint, 2);
   crowd.wait_for(20);
 }
 
@@ -189,7 +189,7 @@
   }
   const auto program = site.start();
   ask_until(program->operators(), "readyz", kSuccess);
-  Crowd crowd(site.clients.at, 2);
+  Crowd crowd(site.clients.endpoint, 2);
   crowd.wait_for(20);
 }
 
