--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -20,7 +20,7 @@
 class StaffClient {
  public:
   explicit StaffClient(const config::Config& config) : config_(config), keys_(config.fleet.key_prefix) {
-    if (!config.fleet.on) throw config::ConfigError("fleet.on", "the fleet shares no store");
+    if (!config.fleet.enabled) throw config::ConfigError("fleet.on", "the fleet shares no store");
   }
   const coordination::StoreKeys& keys() const { return keys_; }
 
@@ -47,7 +47,7 @@
   // Idempotent: repeating a command whose reply was lost finds its request in the store, until the leader has
   // answered it. False: another request of this name is pending.
   bool submit_request(const std::string& request_name, const std::string& text) {
-    const std::string key = keys_.staff_requests() + request_name;
+    const std::string key = keys_.operator_requests() + request_name;
     const auto completed = call(store::Txn{{{store::Compare::Target::create_revision, key, 0, {}}},
                                            {store::Put{key, text, store::LeaseId::none}},
                                            {store::Range{key, {}, 0}}});
@@ -118,7 +118,7 @@
   for (const auto& [session, text] : client.read_all(client.keys().member()))
     live_members[session] = coordination::decode_member_record(text).value_or(coordination::MemberRecord{});
   std::cout << migration::status(client.record(), live_members, migration::MigrationTask::kName,
-                                 client.read_all(client.keys().staff_requests()))
+                                 client.read_all(client.keys().operator_requests()))
             << std::flush;
   return 0;
 }
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -32,7 +32,7 @@
   if (!config.management && !management.empty())
     config.management = config::parse_endpoint("RELAY_MANAGEMENT", management);
   if (config.management) config.limits.door = admin::AdminListener::kMaxDescriptors;
-  if (config.fleet.on) config.limits.fleet = net::CoordinationThread::kDescriptors;
+  if (config.fleet.enabled) config.limits.fleet = net::CoordinationThread::kDescriptors;
   if (listener.empty()) return;
   int fd = -1;
   const auto [end, error] = std::from_chars(listener.data(), listener.data() + listener.size(), fd);
--- a/src/coordination/fleet_member.cpp
+++ b/src/coordination/fleet_member.cpp
@@ -125,7 +125,7 @@
       return store::Txn{
           {},
           {store::Range{keys_.member(), store::prefix_range_end(keys_.member()), 0},
-           store::Range{keys_.staff_requests(), store::prefix_range_end(keys_.staff_requests()), 0}},
+           store::Range{keys_.operator_requests(), store::prefix_range_end(keys_.operator_requests()), 0}},
           {}};
     case RequestSource::revoke_lease:
     case RequestSource::none:
@@ -149,7 +149,7 @@
     if (fenced) txn.compares.push_back({Compare::Target::mod_revision, key, tracked.revision, {}});
     txn.on_success.push_back(Put{key, tracked.draft->state, store::LeaseId::none});
     for (const auto& request_name : tracked.draft->answered_requests)
-      txn.on_success.push_back(store::Delete{keys_.staff_requests() + request_name, {}});
+      txn.on_success.push_back(store::Delete{keys_.operator_requests() + request_name, {}});
   }
   if (!table_draft_) return txn;
   const std::string key = keys_.task_state(kLoadShareTask);
--- a/src/coordination/fleet_member_replies.cpp
+++ b/src/coordination/fleet_member_replies.cpp
@@ -101,8 +101,8 @@
   }
   if (completed.ranges.size() > 1)
     for (const auto& kv : completed.ranges[1].key_values)
-      if (kv.key.size() > keys_.staff_requests().size())
-        fleet.staff_requests[kv.key.substr(keys_.staff_requests().size())] = kv.value;
+      if (kv.key.size() > keys_.operator_requests().size())
+        fleet.operator_requests[kv.key.substr(keys_.operator_requests().size())] = kv.value;
   progress_due_ = true;
   inspect_at_ = now + settings_.inspection_interval;
   draft_load_shares(fleet.members);
--- a/src/coordination/leader_task.h
+++ b/src/coordination/leader_task.h
@@ -19,8 +19,8 @@
 // What the leader reads when it inspects the fleet.
 struct FleetSnapshot {
   Time now{};
-  std::map<std::string, MemberRecord> members;        // by session
-  std::map<std::string, std::string> staff_requests;  // by name (store_keys.h)
+  std::map<std::string, MemberRecord> members;           // by session
+  std::map<std::string, std::string> operator_requests;  // by name (store_keys.h)
   store::Revision fencing_token = 0;
 };
 
--- a/src/coordination/settings.h
+++ b/src/coordination/settings.h
@@ -21,8 +21,8 @@
 inline constexpr Duration kRetryPause = std::chrono::milliseconds(250);  // after a call that failed
 
 struct Settings {
-  bool on = false;
-  // Of the JSON gateway; at least one where `on`.
+  bool enabled = false;
+  // Of the JSON gateway; at least one where `enabled`.
   std::vector<config::Endpoint> store_endpoints;
   std::string key_prefix = "/yokestream";  // of all keys; one an installation
   // A process that does not renew its lease for so long has left.
--- a/src/coordination/store_keys.h
+++ b/src/coordination/store_keys.h
@@ -38,7 +38,7 @@
   std::string leader_progress(const std::string& task) const { return root + "duty/" + task + "/beat"; }
   std::string task_states() const { return root + "state/"; }
   std::string task_state(const std::string& task) const { return task_states() + task; }
-  std::string staff_requests() const { return root + "ask/"; }
+  std::string operator_requests() const { return root + "ask/"; }
   std::string root;
 };
 
--- a/src/dispatch/route_guard.cpp
+++ b/src/dispatch/route_guard.cpp
@@ -14,7 +14,7 @@
 }  // namespace
 
 RouteGuard::RouteGuard(const config::Config& config) : config_(config) {
-  if (config.fleet.on) router_.set_movable_areas(config.fleet.movable_areas);
+  if (config.fleet.enabled) router_.set_movable_areas(config.fleet.movable_areas);
 }
 
 const policy::ClassSettings& RouteGuard::class_of(const RequestReceived& request) const {
--- a/src/migration/migration_task.cpp
+++ b/src/migration/migration_task.cpp
@@ -92,7 +92,7 @@
     return std::find_if(next.plans.begin(), next.plans.end(),
                         [&](const PlanProgress& progress) { return progress.plan.name == name; });
   };
-  for (const auto& [request_name, text] : fleet.staff_requests) {
+  for (const auto& [request_name, text] : fleet.operator_requests) {
     draft.answered_requests.push_back(request_name);
     if (request_name.starts_with(kControlRequestPrefix)) {
       const auto entry = find_progress(request_name.substr(std::string(kControlRequestPrefix).size()));
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -32,7 +32,7 @@
     upgrade_.emplace(config, accept_gate_, session_slots_, memory_budget_, dispatcher_);
   // A successor accepts clients once it was asked whether it is ready: until then its predecessor serves.
   if (!upgrade_ || !config.management || !upgrade_->has_successor()) begin_serving();
-  if (config.fleet.on) {
+  if (config.fleet.enabled) {
     coordination_.emplace(config, events_, log);
     fleet_state_.emplace(dispatcher_, *coordination_);
   }
--- a/src/operator/read_fleet.cpp
+++ b/src/operator/read_fleet.cpp
@@ -34,7 +34,7 @@
 coordination::Settings read_fleet(const Json::Value& told, std::vector<Value>& values) {
   Section section(told, "fleet", values);
   coordination::Settings fleet;
-  fleet.on = section.flag("on", fleet.on);
+  fleet.enabled = section.flag("on", fleet.enabled);
   fleet.store_endpoints = read_addresses(section.at("store"), section.path("store"));
   fleet.movable_areas = read_areas(section.at("areas"), section.path("areas"));
   const Json::Value& prefix = section.at("prefix");
@@ -49,7 +49,7 @@
   fleet.reconnect_spread = section.time("spread_ms", fleet.reconnect_spread, 100, 3'600'000);
   fleet.call_timeout = section.time("ask_ms", fleet.call_timeout, 50, 60'000);
   section.done();
-  if (fleet.on && fleet.store_endpoints.empty())
+  if (fleet.enabled && fleet.store_endpoints.empty())
     throw config::ConfigError(section.path("store"), "no address");
   if (fleet.call_timeout >= fleet.lease_duration / 3)
     throw config::ConfigError(section.path("ask_ms"), "a third of lease_ms or more");
--- a/src/standin/duty_troubles.cpp
+++ b/src/standin/duty_troubles.cpp
@@ -68,7 +68,7 @@
 }
 
 void DutyWorld::ask(const std::string& what, const std::string& text) {
-  const std::string key = coordination::StoreKeys(settings_.duty.key_prefix).staff_requests() + what;
+  const std::string key = coordination::StoreKeys(settings_.duty.key_prefix).operator_requests() + what;
   store_.handle(now_, store::Txn{{}, {store::Put{key, text, store::LeaseId::none}}, {}});
   changed();
 }
--- a/tests/node/duty_random_test.cpp
+++ b/tests/node/coordination_random_faults_test.cpp
@@ -1,6 +1,6 @@
 // Coordination under random faults on the virtual clock, and each rule of the checker shown to find its
 // violation.
-#include "duty_fixture.h"
+#include "coordination_fixture.h"
 
 namespace yokestream::test {
 namespace {
--- a/tests/node/duty_test.cpp
+++ b/tests/node/coordination_test.cpp
@@ -1,5 +1,5 @@
 // Leaders, fencing tokens, load shares and acknowledgements on the virtual clock: single situations.
-#include "duty_fixture.h"
+#include "coordination_fixture.h"
 
 namespace yokestream::test {
 namespace {
--- a/tests/node/duty_search_test.cpp
+++ b/tests/node/leader_election_search_test.cpp
@@ -4,7 +4,7 @@
 #include <deque>
 #include <unordered_set>
 
-#include "duty_fixture.h"
+#include "coordination_fixture.h"
 #include "store/gateway_codec.h"
 
 namespace yokestream::test {
--- a/tests/node/migration_fixture.h
+++ b/tests/node/migration_fixture.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/json.h"
-#include "duty_fixture.h"
+#include "coordination_fixture.h"
 #include "migration/migration_task.h"
 
 namespace yokestream::test {
@@ -44,13 +44,13 @@
     fleet.now += later;
     const auto draft = task.next_draft(fleet);
     if (!draft) return false;
-    for (const auto& asked : draft->answered_requests) fleet.staff_requests.erase(asked);
+    for (const auto& asked : draft->answered_requests) fleet.operator_requests.erase(asked);
     CHECK(task.observe(draft->state, "1"));
     for (auto& [session, member] : fleet.members)
       if (session != silent_session) member.acknowledged_epochs[MigrationTask::kName] = task.record().epoch;
     return true;
   }
-  void propose() { fleet.staff_requests["plan/" + plan.name] = plan_json(plan); }
+  void propose() { fleet.operator_requests["plan/" + plan.name] = plan_json(plan); }
   std::vector<std::size_t> steps() const {
     return task.record().plans.empty() ? std::vector<std::size_t>{} : task.record().plans[0].steps;
   }
--- a/tests/node/migration_test.cpp
+++ b/tests/node/migration_test.cpp
@@ -120,7 +120,7 @@
         held &= !leader.inspect();
       }
       CHECK(held);
-      leader.fleet.staff_requests["wish/south"] = "resume";
+      leader.fleet.operator_requests["wish/south"] = "resume";
       for (int i = 0; i < 30 && leader.outcome().empty(); ++i) report_and_inspect(leader, 100);
       CHECK(leader.outcome() == "done");
     } else {
@@ -156,7 +156,7 @@
   for (int i = 0; i < 5; ++i) leader.inspect();
   REQUIRE(leader.task.record().plans.size() == 1);
   CHECK(leader.task.record().plans[0].halted);
-  leader.fleet.staff_requests["wish/south"] = "resume";
+  leader.fleet.operator_requests["wish/south"] = "resume";
   for (int i = 0; i < 30 && leader.outcome().empty(); ++i) report_and_inspect(leader, 10);
   CHECK(leader.outcome().rfind("went back", 0) == 0);
 }
@@ -167,15 +167,15 @@
   leader.propose();
   Plan other = make_plan(3, 0s);
   other.name = "wide";
-  leader.fleet.staff_requests["plan/wide"] = plan_json(other);
+  leader.fleet.operator_requests["plan/wide"] = plan_json(other);
   other.name = "apart";
   other.moves = {{TableGroupId{50}, "old", "new", {}}};
-  leader.fleet.staff_requests["plan/apart"] = plan_json(other);
-  leader.fleet.staff_requests["plan/noise"] = "{";
-  leader.fleet.staff_requests["plan/named"] = plan_json(other);
+  leader.fleet.operator_requests["plan/apart"] = plan_json(other);
+  leader.fleet.operator_requests["plan/noise"] = "{";
+  leader.fleet.operator_requests["plan/named"] = plan_json(other);
   leader.inspect();
   const auto& record = leader.task.record();
-  CHECK(leader.fleet.staff_requests.empty());
+  CHECK(leader.fleet.operator_requests.empty());
   CHECK(record.outcomes.at("wide") == "turned down: area 1 is in plan south");
   CHECK(record.outcomes.at("noise") == "turned down: it can't be read");
   CHECK(record.outcomes.at("named") == "turned down: it is of another name");
--- a/tests/node/routing_test.cpp
+++ b/tests/node/routing_test.cpp
@@ -17,7 +17,7 @@
 
 config::Config routed() {
   auto config = config::decode_config(config_text());
-  config.fleet.on = true;
+  config.fleet.enabled = true;
   config.fleet.movable_areas = {TableGroupId{kOther}, TableGroupId{kArea}};
   return config;
 }
