--- a/src/coordination/fleet_member.cpp
+++ b/src/coordination/fleet_member.cpp
@@ -6,8 +6,10 @@
 namespace yokestream::coordination {
 namespace {
 
-constexpr Duration kPublishInterval = std::chrono::seconds(5);  // least between two records of traffic
-constexpr double kMinRelativeTrafficChange = 0.2;               // ratio; smaller changes are not published
+// Changes of traffic and tallies are published at most this often; acknowledged epochs immediately.
+constexpr Duration kMinPublishInterval = std::chrono::seconds(5);
+constexpr double kMinRelativeTrafficChange = 0.2;  // ratio; smaller changes are not published
+constexpr double kMinTrafficBaseline = 1e-9;       // requests per second; any traffic after none is a change
 
 }  // namespace
 
@@ -53,9 +55,9 @@
   return Time::max();
 }
 
-// Failure: the connection of a watch dies without being closed.
-// Symptom: no events arrive any more, and no error either.
-// Guard: the view is loaded again after a progress_timeout.
+// Failure: the connection of a watch is lost without being closed.
+// Symptom: the watch delivers neither events nor an error.
+// Guard: the view is reloaded every Settings::progress_timeout.
 Time FleetMember::view_due_at() const {
   return view_.is_loaded() ? std::max(retry_at_, view_loaded_at_ + settings_.progress_timeout) : retry_at_;
 }
@@ -65,11 +67,11 @@
   if (!published_record_) return retry_at_;
   if (published_record_->acknowledged_epochs != own_record_.acknowledged_epochs) return retry_at_;
   if (published_record_->tallies != own_record_.tallies)
-    return std::max(retry_at_, published_at_ + kPublishInterval);
+    return std::max(retry_at_, published_at_ + kMinPublishInterval);
   const double published = published_record_->requests_per_s;
   const double change = std::abs(own_record_.requests_per_s - published);
-  if (change < kMinRelativeTrafficChange * std::max(published, 1e-9)) return Time::max();
-  return std::max(retry_at_, published_at_ + kPublishInterval);
+  if (change < kMinRelativeTrafficChange * std::max(published, kMinTrafficBaseline)) return Time::max();
+  return std::max(retry_at_, published_at_ + kMinPublishInterval);
 }
 
 FleetMember::RequestSource FleetMember::next_source(Time now) const {
@@ -110,9 +112,9 @@
     case RequestSource::view:
       return view_.load_request();
     case RequestSource::publish_record:
-      // Failure: an older record arrives late, after its call timed out.
-      // Symptom: it takes back an epoch that was acknowledged since.
-      // Guard: each record is written over the revision that was seen last.
+      // Failure: a write of an older record is applied late, after its call has timed out.
+      // Symptom: it withdraws an epoch that has been acknowledged since.
+      // Guard: the write requires the mod revision that was seen last.
       return store::Txn{
           {{Compare::Target::mod_revision, keys_.member(incarnation_), published_revision_, {}}},
           {Put{keys_.member(incarnation_), encode(own_record_), incarnation_}},
@@ -134,7 +136,7 @@
   return store::RevokeLease{session_.lease()};
 }
 
-// S1: nothing is written but under this fencing token, and over the states that were seen.
+// S1: the write requires that this fencing token still leads and that no state has changed since it was read.
 store::Txn FleetMember::build_state_write() const {
   using store::Compare;
   using store::Put;
@@ -173,9 +175,9 @@
     return {granted_share_, expires ? session_.held_until() : Time::max(),
             std::min(granted_share_, share_calculator_.even_share()), granted_epoch_};
   if (fallback_share_ > 0) return {fallback_share_, Time::max(), fallback_share_, -1};
-  // A newcomer. Its predecessor, or this process's last session, may have released a part of its share to
-  // the others, so it begins with the minimum until the leader has seen that session's end and the others
-  // act on it.
+  // No grant yet. The session that this process replaces may have released part of its share to others. So
+  // the process starts with the minimum share and gets its even share only after the leader has had time to
+  // notice the end of that session and the others to apply the next table.
   return {share_calculator_.min_share(),
           last_held_until_ + 2 * (settings_.lease_duration + settings_.inspection_interval),
           share_calculator_.even_share(), -1};
--- a/src/coordination/fleet_member_replies.cpp
+++ b/src/coordination/fleet_member_replies.cpp
@@ -1,4 +1,4 @@
-// FleetMember: replies and watch responses of the store, and the state that follows from them.
+// FleetMember: handles replies and watch responses of the store and updates the member's state.
 #include <algorithm>
 #include <utility>
 
@@ -7,7 +7,7 @@
 namespace yokestream::coordination {
 namespace {
 
-// Between inspections while acknowledgements are missing.
+// Interval between inspections while acknowledgements are missing.
 constexpr Duration kAcknowledgementPollInterval = std::chrono::milliseconds(1000);
 
 }  // namespace
@@ -15,10 +15,10 @@
 void FleetMember::on_reply(Time now, const store::Reply& reply) {
   const auto* completed = std::get_if<store::Completed>(&reply);
   // Failure: the store is restored from an older backup.
-  // Symptom: fencing tokens and epochs are used twice, with different decisions.
-  // Guard: a revision below the highest one seen stops this member for good.
+  // Symptom: fencing tokens and epochs are reused for different decisions.
+  // Guard: a revision below the highest one seen stops this member permanently.
   if (completed && in_flight_ != RequestSource::session && in_flight_ != RequestSource::revoke_lease) {
-    if (completed->revision < highest_revision_) fault_ = "the store was set back to an older state";
+    if (completed->revision < highest_revision_) fault_ = "the store was restored from an older backup";
     highest_revision_ = std::max(highest_revision_, completed->revision);
   }
   if (!fault_.empty()) return reset_incarnation();
@@ -29,7 +29,7 @@
   } else if (in_flight_ == RequestSource::election) {
     election_.on_reply(now, reply);
     if (election_.is_leader()) inspect_at_ = std::min(inspect_at_, now);
-    if (election_.fencing_token() != drafts_token_) drop_drafts();  // made under another token
+    if (election_.fencing_token() != drafts_token_) drop_drafts();  // prepared under another fencing token
     drafts_token_ = election_.fencing_token();
   } else if (completed) {
     on_completed(now, *completed);
@@ -52,7 +52,7 @@
   } else if (in_flight_ == RequestSource::publish_state) {
     drop_drafts();
     progress_due_ = false;
-    view_.invalidate();  // the state is read back, not presumed
+    view_.invalidate();  // the state is read back rather than assumed
     if (!completed.succeeded) election_.on_leadership_lost();
   } else if (in_flight_ == RequestSource::inspect) {
     on_fleet_read(now, completed);
@@ -65,10 +65,10 @@
   const bool created = completed.succeeded;
   const bool found = !created && !completed.ranges.empty() && !completed.ranges[0].key_values.empty();
   format_known_ = created || (found && completed.ranges[0].key_values[0].value == kFormat);
-  if (!format_known_) fault_ = "the store holds another form under " + keys_.root;
+  if (!format_known_) fault_ = "unsupported storage format under " + keys_.root;
 }
 
-// A write with an unknown outcome is settled by reading back.
+// The outcome of a write that got no reply is determined by reading the state back.
 void FleetMember::on_not_completed(Time now, bool outcome_unknown) {
   retry_at_ = now + kRetryPause;
   if (in_flight_ == RequestSource::publish_record) published_record_.reset();
@@ -76,10 +76,11 @@
     drop_drafts();
     view_.invalidate();
   }
-  if (in_flight_ == RequestSource::revoke_lease) lease_ended_ = true;  // it expires by itself
+  if (in_flight_ == RequestSource::revoke_lease) lease_ended_ = true;  // the lease expires by itself
 }
 
-// Rejected: an earlier write that timed out was applied after all. The next one goes over it.
+// A rejected write means that an earlier one which timed out was applied after all; the next write replaces
+// it.
 void FleetMember::on_record_published(Time now, const store::Completed& completed) {
   published_at_ = now;
   if (completed.succeeded) {
@@ -95,7 +96,7 @@
   if (completed.ranges.empty()) return;
   FleetSnapshot fleet{now, {}, {}, election_.fencing_token()};
   for (const auto& kv : completed.ranges.front().key_values) {
-    const auto member = decode_member_record(kv.value);  // a malformed one acknowledges nothing
+    const auto member = decode_member_record(kv.value);  // a malformed record acknowledges nothing
     if (kv.key.size() > keys_.member().size())
       fleet.members[kv.key.substr(keys_.member().size())] = member.value_or(MemberRecord{});
   }
@@ -124,7 +125,7 @@
   if (table_draft_) table_draft_->fencing_token = election_.fencing_token();
 }
 
-// Shows each task the state in the view, once a revision: most events are of other keys.
+// Passes each task its state from the view, once per revision, as most events concern other keys.
 void FleetMember::apply_task_states() {
   const std::string session = incarnation_ == store::LeaseId::none ? "" : session_name(incarnation_);
   for (TrackedTask& tracked : tasks_) {
@@ -132,30 +133,31 @@
     const auto* state = view_.find(key);
     const store::Revision revision = state ? state->mod_revision : 0;
     if (revision == tracked.revision && session == tracked.session) continue;
-    if (revision != tracked.revision) tracked.draft.reset();  // it was made from another state
+    if (revision != tracked.revision) tracked.draft.reset();  // it was prepared from another state
     tracked.revision = revision;
     tracked.session = session;
     if (!tracked.task->observe(state ? state->value : "", session))
-      fault_ = "the store's record " + key + " can't be read";
+      fault_ = "malformed record in the store: " + key;
   }
 }
 
-// Applies the load share table in the view. A malformed one is never overwritten.
+// Applies the load share table from the view. A malformed table is reported and never overwritten.
 void FleetMember::apply_load_shares() {
   const auto* state = view_.find(keys_.task_state(kLoadShareTask));
   const auto previous_revision = std::exchange(table_revision_, state ? state->mod_revision : 0);
   apply_task_states();
   if (!fault_.empty()) return reset_incarnation();
   if (!state) return table_.reset();
-  if (!table_ || table_revision_ != previous_revision) {  // most events are of other keys
+  if (!table_ || table_revision_ != previous_revision) {  // most events concern other keys
     auto table = decode_load_share_table(state->value);
     if (!table) {
-      fault_ = "the store's record " + keys_.task_state(kLoadShareTask) + " can't be read";
+      fault_ = "malformed record in the store: " + keys_.task_state(kLoadShareTask);
       return reset_incarnation();
     }
     table_ = std::move(table);
   }
-  // An earlier write that timed out was applied after all: a draft made from the table before it is void.
+  // An earlier write that timed out may have been applied after all. A draft prepared from the table before
+  // it is then outdated.
   if (table_draft_ && table_draft_->epoch != table_->epoch + 1) table_draft_.reset();
   const auto own = table_->shares.find(session_name(incarnation_));
   if (own == table_->shares.end() || table_->epoch <= granted_epoch_) return;
@@ -163,7 +165,8 @@
   granted_epoch_ = table_->epoch;
 }
 
-// A new session, or none: the grants of the last one are void, except as an upper bound for this one.
+// Starts over with a new session, or without one. Grants of the last session end; they only bound the
+// fallback share.
 void FleetMember::reset_incarnation() {
   incarnation_ = session_.lease();
   if (granted_share_ > 0) fallback_share_ = std::min(granted_share_, share_calculator_.even_share());
--- a/src/coordination/leader_election.cpp
+++ b/src/coordination/leader_election.cpp
@@ -5,6 +5,11 @@
 #include "coordination/store_keys.h"
 
 namespace yokestream::coordination {
+namespace {
+
+constexpr int kProgressReadsPerTimeout = 3;  // by the candidate right behind the leader; the others read once
+
+}  // namespace
 
 void LeaderElection::campaign(store::LeaseId lease, const std::string& name) {
   if (lease == lease_) return;
@@ -29,9 +34,9 @@
   if (outcome_unknown_ || needs_reread_) return Step::read_candidates;
   if (resigning_) return Step::withdraw;
   if (candidate_revision_ == 0) return Step::join;
-  if (predecessor_key_.empty()) return Step::read_candidates;  // to confirm that it still leads
-  if (!leader_is_idle()) return Step::read_progress;
-  // No progress for too long: read who leads now, and whether that is the predecessor.
+  if (predecessor_key_.empty()) return Step::read_candidates;  // to confirm that this one still leads
+  if (!is_progress_overdue()) return Step::read_progress;
+  // The leader has made no progress for the timeout: reads whether the predecessor is still the leader.
   if (candidates_read_at_ < progress_since_ + settings_.progress_timeout) return Step::read_candidates;
   return predecessor_is_leader_ ? Step::remove_leader : Step::read_progress;
 }
@@ -41,7 +46,7 @@
   if (outcome_unknown_ || needs_reread_ || resigning_ || candidate_revision_ == 0) return retry_at_;
   if (predecessor_key_.empty()) return std::max(retry_at_, candidates_read_at_ + settings_.progress_timeout);
   if (next_step() != Step::read_progress) return retry_at_;
-  const int reads_per_timeout = predecessor_is_leader_ ? 3 : 1;
+  const int reads_per_timeout = predecessor_is_leader_ ? kProgressReadsPerTimeout : 1;
   return std::max(retry_at_, progress_read_at_ + settings_.progress_timeout / reads_per_timeout);
 }
 
@@ -59,7 +64,7 @@
       return store::Txn{{leadership_guard()}, {store::Delete{own_key_, {}}}, {}};
     case Step::read_progress:
       return store::Range{progress_key_, {}};
-    case Step::remove_leader:  // only if it is the same leader, without progress since
+    case Step::remove_leader:  // only if the leader is the same and has made no progress since
       return store::Txn{
           {{store::Compare::Target::mod_revision, progress_key_, progress_revision_, {}},
            {store::Compare::Target::create_revision, predecessor_key_, predecessor_revision_, {}}},
@@ -75,7 +80,7 @@
   const auto* completed = std::get_if<store::Completed>(&reply);
   if (!completed) {
     retry_at_ = now + kRetryPause;
-    // The write may have been applied: the candidates are read back before the next step.
+    // The write may have been applied, so the candidates are read before the next step.
     if (std::holds_alternative<store::OutcomeUnknown>(reply)) outcome_unknown_ = true;
     return;
   }
@@ -89,7 +94,7 @@
   }
 }
 
-// Orders the candidates by create revision, as of one revision of the store.
+// Finds this process's candidacy and its predecessor by create revision, from one consistent read.
 void LeaderElection::on_candidates_read(Time now, const store::Completed& completed) {
   needs_reread_ = false;
   outcome_unknown_ = false;
@@ -114,7 +119,7 @@
   predecessor_is_leader_ = !predecessor_key_.empty() && first == predecessor_revision_;
 }
 
-// The timeout counts on this clock, from when the leader's last progress was first read.
+// The progress timeout is measured by the local clock, from when this revision was first read.
 void LeaderElection::on_progress_read(Time now, const store::Completed& completed) {
   const auto& ranges = completed.ranges;
   const store::Revision revision =
@@ -130,8 +135,8 @@
   std::string out = own_key_ + '|' + predecessor_key_;
   for (const auto number : {candidate_revision_, predecessor_revision_, progress_revision_})
     out += '|' + std::to_string(number);
-  for (const bool flag :
-       {in_flight_, needs_reread_, outcome_unknown_, resigning_, predecessor_is_leader_, leader_is_idle()})
+  for (const bool flag : {in_flight_, needs_reread_, outcome_unknown_, resigning_, predecessor_is_leader_,
+                          is_progress_overdue()})
     out += flag ? '1' : '0';
   return out;
 }
--- a/src/coordination/leader_election.h
+++ b/src/coordination/leader_election.h
@@ -1,21 +1,22 @@
 // Elects the leader of one task among the candidates in the store.
 //
-// Each candidate has a key under its lease. The one with the least create revision leads, and that revision
-// is its fencing token: all that the leader writes compares it (S1). Each candidate watches its predecessor
-// alone, so the end of a leader wakes one process. A leader that publishes no progress for
+// Each candidate has a key attached to its lease. The candidate with the lowest create revision leads, and
+// that revision is its fencing token: every write of the leader compares it (S1). Each candidate watches only
+// its predecessor, so that the end of a leader notifies one process. A leader that publishes no progress for
 // Settings::progress_timeout is removed by its successor. Candidates further back read the progress too, as
 // their predecessor may have become the leader since.
 //
 //   state                        step              next state, once completed
-//   no candidate                 join              the leader, or behind a predecessor
-//   outcome unknown, reread due  read_candidates   as the store has it
-//   leader                       read_candidates   the same, or not a candidate; once a progress_timeout
-//   behind a predecessor         read_progress     the same; three times a progress_timeout behind the leader
+//   not a candidate              join              leader, or behind a predecessor
+//   outcome unknown, reread due  read_candidates   as read from the store
+//   leader                       read_candidates   same, or not a candidate; once per progress_timeout
+//   behind a predecessor         read_progress     same; three times per progress_timeout behind the leader
 //   no progress for a timeout    read_candidates   the predecessor leads, or not
 //   and the predecessor leads    remove_leader     reread due
-//   resigning                    withdraw          no candidate
+//   resigning                    withdraw          not a candidate
 //
-// A reply that was lost is read back before any further step. Pure; not thread-safe. Memory: fixed.
+// If a write gets no reply, the candidates are read before any further step. Performs no I/O; not
+// thread-safe. Memory: fixed.
 #pragma once
 
 #include <optional>
@@ -28,23 +29,24 @@
 
 class LeaderElection {
  public:
-  // `candidates`: the prefix of the candidates' keys; `progress_key`: written by the leader as it makes
-  // progress. `settings` must outlive this.
+  // `candidates`: key prefix of the candidates; `progress_key`: written by the leader when it makes progress.
+  // `settings` must outlive this.
   LeaderElection(const Settings& settings, std::string candidates, std::string progress_key)
       : settings_(settings),
         candidates_prefix_(std::move(candidates)),
         progress_key_(std::move(progress_key)) {}
 
-  // Becomes a candidate under this lease. A lease other than the last one ends the last candidacy.
+  // Becomes a candidate under this lease. The candidacy under another lease ends.
   void campaign(store::LeaseId lease, const std::string& name);
-  void resign();  // withdraws the candidacy by the next requests
-  // The request to send now; nullopt: none is due. One at a time: on_request_sent(), then on_reply().
+  void resign();  // the next requests withdraw the candidacy
+  // The request to send now; nullopt: none is due. One request is in flight at a time: call
+  // on_request_sent(), then on_reply().
   std::optional<store::Request> next_request(Time now) const;
   void on_request_sent() { in_flight_ = true; }
   void on_reply(Time now, const store::Reply& reply);
   Time next_due() const;
 
-  // The watch of the predecessor's key; nullopt: there is no predecessor.
+  // Watch to keep open on the predecessor's key; nullopt: there is no predecessor.
   std::optional<store::WatchRequest> predecessor_watch() const;
   // The predecessor has left, or its watch has ended.
   void on_predecessor_gone() { needs_reread_ = true; }
@@ -59,7 +61,7 @@
   }
   bool has_resigned() const { return candidate_revision_ == 0 && !outcome_unknown_; }
   store::Revision fencing_token() const { return candidate_revision_; }
-  // All state except times, as text: equal digests behave alike. For exhaustive searches in tests.
+  // All state except times, as text; elections with equal digests behave alike. For state searches in tests.
   std::string digest() const;
   store::Compare leadership_guard() const {
     return {store::Compare::Target::create_revision, own_key_, candidate_revision_, {}};
@@ -67,7 +69,9 @@
 
  private:
   enum class Step { join, read_candidates, withdraw, read_progress, remove_leader };
-  bool leader_is_idle() const { return progress_read_at_ >= progress_since_ + settings_.progress_timeout; }
+  bool is_progress_overdue() const {
+    return progress_read_at_ >= progress_since_ + settings_.progress_timeout;
+  }
   Step next_step() const;
   void forget_candidacy();
   void on_candidates_read(Time now, const store::Completed& completed);
@@ -80,14 +84,14 @@
   store::LeaseId lease_ = store::LeaseId::none;
   store::Revision candidate_revision_ = 0;    // create revision of own_key_; 0: not a candidate
   store::Revision predecessor_revision_ = 0;  // create revision of predecessor_key_
-  store::Revision observed_revision_ = 0;     // of the store when the candidates were read
-  bool in_flight_ = false;                    // a request is
+  store::Revision observed_revision_ = 0;     // store revision at which the candidates were read
+  bool in_flight_ = false;                    // a request awaits its reply
   bool needs_reread_ = false;
   bool outcome_unknown_ = false;  // of the last write
   bool resigning_ = false;
   bool predecessor_is_leader_ = false;
-  store::Revision progress_revision_ = -1;  // of progress_key_ as last read; -1: not read
-  Time progress_since_{};                   // when it was first read at this revision
+  store::Revision progress_revision_ = -1;  // mod revision of progress_key_; -1: not read yet
+  Time progress_since_{};                   // when progress_revision_ was first read
   Time progress_read_at_{};
   Time candidates_read_at_{};
   Time retry_at_ = Time::min();
--- a/src/coordination/leader_task.h
+++ b/src/coordination/leader_task.h
@@ -1,8 +1,9 @@
-// Work that the leader of a fleet does beside the load shares. Each task has one state in the store: read by
-// all processes, written by the leader alone, under its fencing token and over the state that it read.
+// Interface of the leader's tasks other than the load shares. Each task has one state in the store. All
+// processes read it; only the leader writes it, under its fencing token and only if the state is unchanged
+// since it was read.
 //
-// Pure, like all of src/coordination; called by the thread that runs coordination::FleetMember. Every
-// process keeps one object a task, whether it leads or not.
+// Implementations perform no I/O; the thread that runs FleetMember calls them. Every process keeps one object
+// per task, whether it leads or not.
 #pragma once
 
 #include <map>
@@ -16,11 +17,11 @@
 
 namespace yokestream::coordination {
 
-// What the leader reads when it inspects the fleet.
+// What the leader reads in one inspection of the fleet.
 struct FleetSnapshot {
   Time now{};
   std::map<std::string, MemberRecord> members;           // by session
-  std::map<std::string, std::string> operator_requests;  // by name (store_keys.h)
+  std::map<std::string, std::string> operator_requests;  // by request name (store_keys.h)
   store::Revision fencing_token = 0;
 };
 
@@ -28,17 +29,17 @@
  public:
   struct Draft {
     std::string state;
-    std::vector<std::string> answered_requests;  // staff requests that this write deletes
+    std::vector<std::string> answered_requests;  // operator requests to delete with this write
   };
 
   virtual ~LeaderTask() = default;
   virtual std::string name() const = 0;
-  // The stored state (empty: none) and this process's session (empty: none). False: the state is malformed;
-  // it is never overwritten.
+  // Takes the stored state and this process's session; empty: there is none. False: the state is malformed,
+  // and is never overwritten.
   virtual bool observe(std::string_view state, const std::string& session) = 0;
-  // At the leader: the next state; nullopt: it stays as it is.
+  // At the leader: the next state; nullopt: no change.
   virtual std::optional<Draft> next_draft(const FleetSnapshot& fleet) = 0;
-  // Whether it waits for other members, so that the leader inspects the fleet again soon.
+  // Whether the task waits for other members, in which case the leader inspects the fleet more often.
   virtual bool has_pending_work() const = 0;
 };
 
--- a/src/coordination/load_shares.cpp
+++ b/src/coordination/load_shares.cpp
@@ -10,7 +10,7 @@
 namespace yokestream::coordination {
 namespace {
 
-constexpr double kMinRelativeChange = 0.05;  // of a share; smaller changes are not published
+constexpr double kMinRelativeChange = 0.05;  // of a share; smaller changes are not made
 
 }  // namespace
 
@@ -18,14 +18,15 @@
                                        const std::map<std::string, MemberRecord>& live_members,
                                        const std::string& task) {
   return std::all_of(live_members.begin(), live_members.end(), [&](const auto& session) {
-    if (!table.shares.count(session.first)) return true;  // limited to its even share
+    if (!table.shares.count(session.first)) return true;  // not in the table: uses at most its even share
     const auto acknowledgement = session.second.acknowledged_epochs.find(task);
     return acknowledgement != session.second.acknowledged_epochs.end() &&
            acknowledgement->second >= table.epoch;
   });
 }
 
-// By name: a restarted manager may have two sessions for a while, and is entitled to one even share.
+// Counts names, not sessions: a restarted manager may have two sessions for a while but is entitled to one
+// even share.
 std::size_t LoadShareCalculator::manager_count(
     const std::map<std::string, MemberRecord>& live_members) const {
   std::set<std::string> manager_names;
@@ -44,11 +45,12 @@
     newcomers += previous == table.shares.end();
   }
   if (newcomers == 0) return 0;
-  // the other newcomers still count on their even shares
+  // Reserves an even share for each of the other newcomers, as they may use that much.
   return std::clamp(total - allocated - (newcomers - 1) * even_share(), min_share(), even_share());
 }
 
-// The minimum for each, the rest by traffic: within `total`, as the minimum is half of the even share.
+// Each member gets the minimum, and the rest is divided by traffic. The sum is within `total`, as the minimum
+// is half of the even share.
 LoadShare LoadShareCalculator::target_share(LoadShare current, LoadShare total, LoadShare count,
                                             double traffic_ratio) const {
   const auto demanded =
@@ -59,9 +61,9 @@
   return std::max(target, min_share());
 }
 
-// Shares that shrink do so in this table; shares that grow divide what was unallocated before it. What is
-// released by this table is available to the one after it. So while members act on either of two successive
-// tables, the sum of each member's larger share stays within the total.
+// Shrinking shares take effect in this table. Growing shares divide only what was unallocated before it; what
+// this table releases is available to the next one. So while some members act on a table and others still on
+// the one before, the sum of each member's larger share stays within the total.
 std::optional<LoadShareTable> LoadShareCalculator::next_table(
     const LoadShareTable& table, const std::map<std::string, MemberRecord>& live_members) const {
   const auto count = static_cast<LoadShare>(manager_count(live_members));
@@ -81,12 +83,12 @@
                                              : 1 / static_cast<double>(live_members.size());
     const LoadShare target = target_share(current, total, count, traffic_ratio);
     targets[session] = target;
-    in_effect += is_newcomer ? even_share() : current;  // until it acts on this table
+    in_effect += is_newcomer ? even_share() : current;  // until the member acts on this table
     total_increase += std::max<LoadShare>(0, target - current);
     next.shares[session] = current;
   }
   const LoadShare unallocated = std::max<LoadShare>(0, total - in_effect);
-  // Above the total after a member left, or was never counted: all shares shrink by the same ratio.
+  // The sum can exceed the total after a member has left or was not counted: all shares shrink by one ratio.
   const double shrink = in_effect > total ? static_cast<double>(total) / static_cast<double>(in_effect) : 1;
   const bool grow_at_once = disabled_guards_ & Settings::kUnallocated;
   for (auto& [session, share] : next.shares) {
--- a/src/coordination/load_shares.h
+++ b/src/coordination/load_shares.h
@@ -1,14 +1,15 @@
-// The leader task `shares`: which share of the fleet's load each manager may count on, by the traffic that
-// the live ones report, instead of one over the number of managers that the platform reports.
+// The leader task `shares`: divides the fleet's load among the live managers by the traffic that they report,
+// instead of evenly by the number of managers that the platform reports.
 //
-// Rule: the shares in effect never sum up to more than the whole, whoever is slow, silent, disconnected or
-// restarted. A share grows only by what is certainly unallocated: the leader publishes a table, waits until
-// each live session acknowledges it or its lease has ended (S3), and only then publishes the next. A member
-// without a lease keeps the smaller of its last share and its even share, so that much is never given away.
-// Nobody has less than half of its even share, with which a newcomer begins.
+// Invariant: the shares in effect never sum up to more than the whole, even if members are slow, silent,
+// disconnected or restarted. A share grows only by what is certainly unallocated: the leader publishes a
+// table, waits until every live session has acknowledged it or its lease has ended (S3), and only then
+// publishes the next. A member without a lease keeps the smaller of its last share and its even share, so the
+// leader never allocates that much to others. Every member has at least half of its even share; a newcomer
+// starts with that.
 //
 // Shares are integers, in billionths. Managers are identified by name, which is unique in a fleet.
-// Pure; any thread. Memory: one number a session, kMaxMembers at most.
+// No I/O; callable from any thread. Memory: one number per session, for at most kMaxMembers sessions.
 #pragma once
 
 #include <cstdint>
@@ -26,7 +27,7 @@
 
 struct LoadShareTable {
   std::int64_t epoch = 0;
-  store::Revision fencing_token = 0;        // of the leader that wrote it (S1)
+  store::Revision fencing_token = 0;        // of the leader that wrote the table (S1)
   std::map<std::string, LoadShare> shares;  // by session
   bool operator==(const LoadShareTable&) const = default;
 };
@@ -35,10 +36,10 @@
 
 class LoadShareCalculator {
  public:
-  static constexpr double kDamping = 0.3;  // ratio of the way to the demanded share, a table
+  static constexpr double kDamping = 0.3;  // part of the distance to the target made per table
 
-  // `reported_manager_count`: as the platform reports it, at least one.
-  // `disabled_guards`: of Settings, for tests alone.
+  // `reported_manager_count`: as reported by the platform, at least one.
+  // `disabled_guards`: flags of Settings::Guard, for tests only.
   explicit LoadShareCalculator(std::size_t reported_manager_count, unsigned disabled_guards = 0)
       : reported_manager_count_(reported_manager_count), disabled_guards_(disabled_guards) {}
   LoadShare even_share() const { return kFullLoad / static_cast<LoadShare>(reported_manager_count_); }
@@ -46,18 +47,18 @@
 
   // Live managers, at most as many as the platform reports.
   std::size_t manager_count(const std::map<std::string, MemberRecord>& live_members) const;
-  // Whether all live sessions act on this table.
+  // Whether every live session that has a share in this table has acknowledged it.
   static bool acknowledged(const LoadShareTable& table,
                            const std::map<std::string, MemberRecord>& live_members, const std::string& task);
-  // The table that follows this one once it is acknowledged; nullopt: it would be the same.
+  // The table to publish once this one is acknowledged; nullopt: no share would change.
   std::optional<LoadShareTable> next_table(const LoadShareTable& table,
                                            const std::map<std::string, MemberRecord>& live_members) const;
 
  private:
-  // With which newcomers enter the next table; 0: there are none.
+  // The share of each newcomer in the next table; 0: there are no newcomers.
   LoadShare newcomer_share(const LoadShareTable& table,
                            const std::map<std::string, MemberRecord>& live_members, LoadShare total) const;
-  // What a member with `traffic_ratio` of the fleet's traffic should have, one damped step from `current`.
+  // One damped step from `current` to the share for `traffic_ratio` of the fleet's traffic.
   LoadShare target_share(LoadShare current, LoadShare total, LoadShare count, double traffic_ratio) const;
 
   const std::size_t reported_manager_count_;
--- a/src/coordination/record_codec.cpp
+++ b/src/coordination/record_codec.cpp
@@ -1,7 +1,7 @@
-// Encodes member records and load share tables as the JSON kept in the store, and decodes them.
+// Encodes member records and load share tables as JSON for the store, and decodes them.
 //
-// Words of the stored form: `seen` is acknowledged_epochs, `traffic` requests_per_s, `term` the fencing
-// token, `parts` the shares.
+// Fields of the stored JSON: `seen` holds acknowledged_epochs, `traffic` requests_per_s, `term` the fencing
+// token, `parts` the shares, and `form` the version of the format.
 #include <cmath>
 #include <cstdio>
 
@@ -13,10 +13,10 @@
 
 constexpr std::size_t kMaxNameBytes = 256;
 constexpr std::size_t kMaxTallyPlans = 16;
-constexpr std::size_t kMaxTallyNumbers = 16;  // of one plan
+constexpr std::size_t kMaxNumbersPerTally = 16;
 constexpr std::size_t kMaxTasks = 16;
 
-// nullopt: not a JSON object of the supported form.
+// nullopt: not a JSON object of a supported version.
 std::optional<Json::Value> parse(std::string_view text, std::size_t max_bytes) {
   auto value = base::read_json(text, max_bytes);
   if (!value || !value->isObject() || (*value)["form"] != 1) return std::nullopt;
@@ -27,7 +27,7 @@
   return value.isString() && value.asString().size() <= kMaxNameBytes;
 }
 
-// An object of at most `max_entries` integers, none below zero.
+// Decodes an object of at most `max_entries` non-negative integers; nullopt: malformed.
 std::optional<std::map<std::string, std::int64_t>> decode_numbers(const Json::Value& value,
                                                                   std::size_t max_entries) {
   if (!value.isObject() || value.size() > max_entries) return std::nullopt;
@@ -43,7 +43,7 @@
   if (value.isNull()) return out;
   if (!value.isObject() || value.size() > kMaxTallyPlans) return std::nullopt;
   for (const auto& name : value.getMemberNames()) {
-    if (!value[name].isArray() || value[name].size() > kMaxTallyNumbers) return std::nullopt;
+    if (!value[name].isArray() || value[name].size() > kMaxNumbersPerTally) return std::nullopt;
     for (const auto& number : value[name]) {
       if (!number.isInt64() || number.asInt64() < 0) return std::nullopt;
       out[name].push_back(number.asInt64());
--- a/src/coordination/store_keys.h
+++ b/src/coordination/store_keys.h
@@ -1,14 +1,15 @@
-// The keys of a fleet in the store, below its prefix, and the record that each process publishes of itself.
+// Keys of a fleet in the store, below its prefix, and the record that each process publishes.
 //
-//   format                 version of all that follows; an unknown one is reported and left alone
-//   alive/SESSION          a MemberRecord, under the process's lease
-//   duty/T/line/SESSION    a candidate for leader of task T, under its lease; the oldest leads
-//   duty/T/beat            the leader's last sign of progress
-//   state/T                the task's state, with the fencing token that wrote it; watched by all
-//   ask/REQUEST            a staff request to the leader (yokestream fleet); deleted when answered
+//   format                 version of the storage format; an unsupported one is reported, not overwritten
+//   alive/SESSION          a MemberRecord, attached to the process's lease
+//   duty/T/line/SESSION    a candidate for leader of task T, attached to its lease; the oldest one leads
+//   duty/T/beat            the leader's last progress
+//   state/T                state of task T, with the fencing token that wrote it; watched by all processes
+//   ask/REQUEST            an operator's request to the leader (yokestream fleet); deleted when answered
 //
-// `duty`, `line`, `beat`, `ask` are the store's words for task, candidates, progress and request.
-// Bounded: one record a session of at most kMaxMemberRecordBytes, one state a task. Pure; any thread.
+// In these keys `duty` stands for a task, `line` for its candidates, `beat` for progress and `ask` for
+// requests. Limits: one record of at most kMaxMemberRecordBytes per session, one state per task. Callable
+// from any thread.
 #pragma once
 
 #include <map>
@@ -43,10 +44,10 @@
 };
 
 struct MemberRecord {
-  std::string name, version;                                // of the manager, of the program
+  std::string name, version;                                // name of the manager, version of the program
   double requests_per_s = 0;                                // smoothed
-  std::map<std::string, std::int64_t> acknowledged_epochs;  // by task: the epoch that it acts on (S3)
-  // Outcomes on both sides of a migration, by plan, since the session began (migration/outcome_gate.h).
+  std::map<std::string, std::int64_t> acknowledged_epochs;  // by task: the epoch acted on (S3)
+  // By migration plan: counts of outcomes on both sides since the session began (migration/outcome_gate.h).
   std::map<std::string, std::vector<std::int64_t>> tallies;
   bool operator==(const MemberRecord&) const = default;
 };
--- a/src/coordination/store_session.cpp
+++ b/src/coordination/store_session.cpp
@@ -20,10 +20,10 @@
   return store::GrantLease{whole_seconds(settings_.lease_duration) / std::chrono::seconds(1)};
 }
 
-// Failure: a reply arrives late, and the lease is counted from its arrival.
-// Symptom: this process acts on a lease that the store has given up already.
-// Guard: the time to live counts from when the request was sent.
-// A GrantLease whose reply was lost leaves a lease that nothing is attached to; it expires by itself.
+// Failure: a reply arrives late, and the time to live is counted from its arrival.
+// Symptom: this process acts on a lease that has already expired at the store.
+// Guard: the time to live is counted from when the request was sent.
+// If the reply to a GrantLease is lost, a lease without keys remains, which expires by itself.
 void StoreSession::on_reply(Time now, const store::Reply& reply) {
   in_flight_ = false;
   const auto* completed = std::get_if<store::Completed>(&reply);
--- a/src/coordination/store_view.cpp
+++ b/src/coordination/store_view.cpp
@@ -15,7 +15,7 @@
   }
 }
 
-// An event at or below the view's revision is a repeated or late one.
+// Events at or below the view's revision are duplicates.
 void StoreView::on_watch_response(const store::WatchResponse& response) {
   if (response.canceled || response.compact_revision > 0) return invalidate();
   for (const auto& event : response.events) {
@@ -25,7 +25,7 @@
     else if (keys_.size() < kMaxMembers || keys_.count(event.key_value.key))
       keys_[event.key_value.key] = event.key_value;
   }
-  // the events of one revision arrive in one message, so the view is complete up to it
+  // All events of one revision arrive in one message, so the view is complete up to the highest revision.
   for (const auto& event : response.events) revision_ = std::max(revision_, event.key_value.mod_revision);
 }
 
--- a/src/coordination/store_view.h
+++ b/src/coordination/store_view.h
@@ -1,6 +1,6 @@
-// A cached copy of the keys below one prefix: loaded completely at one revision, then updated by a watch
-// from the next one. After a watch that was disconnected or compacted everything is loaded again. Repeated
-// events are ignored. Pure; not thread-safe. Memory: kMaxMembers keys at most.
+// A cached copy of the keys below one prefix: loaded at one revision, then updated by a watch that starts at
+// the next one. After a watch was disconnected or its revision compacted, all keys are loaded again.
+// Duplicate events are ignored. Performs no I/O; not thread-safe. Memory: at most kMaxMembers keys.
 #pragma once
 
 #include <map>
@@ -22,14 +22,14 @@
     return {prefix_, store::prefix_range_end(prefix_), revision_ + 1};
   }
   void on_watch_response(const store::WatchResponse& response);
-  void invalidate() { revision_ = 0; }  // to be loaded again
+  void invalidate() { revision_ = 0; }  // the view must be loaded again
 
   const store::KeyValue* find(const std::string& key) const;
 
  private:
   const std::string prefix_;
   std::map<std::string, store::KeyValue> keys_;
-  store::Revision revision_ = 0;  // up to which `keys_` is complete; 0: not loaded
+  store::Revision revision_ = 0;  // the revision that `keys_` reflects; 0: not loaded
 };
 
 }  // namespace yokestream::coordination
--- a/src/store/client.cpp
+++ b/src/store/client.cpp
@@ -15,7 +15,8 @@
 
 constexpr std::size_t kReadBytes = 8 * 1024;
 
-// Number of bytes written by `deadline`; nullopt: the socket failed, and some may have been sent.
+// Returns the number of bytes written by `deadline`; nullopt: the socket failed, and some bytes may have been
+// sent.
 std::optional<std::size_t> write_until(net::Socket& socket, std::string_view bytes, net::Time deadline) {
   std::size_t written = 0;
   while (written < bytes.size()) {
@@ -35,12 +36,12 @@
   bool keep_alive = false;  // the connection can be reused
 };
 
-// nullopt: no complete response by `deadline`, or malformed HTTP.
+// nullopt: no complete response arrived by `deadline`, or it is malformed HTTP.
 std::optional<HttpResponse> read_response(net::Socket& socket, net::Time deadline) {
   http::response_parser<http::string_body> parser;
   parser.eager(true);
   parser.body_limit(kMaxReplyBytes);
-  std::string unparsed;  // received, not consumed by the parser yet
+  std::string unparsed;  // received but not consumed by the parser yet
   std::array<char, kReadBytes> bytes;
   while (!parser.is_done()) {
     const auto size = socket.read_until(bytes.data(), bytes.size(), deadline);
@@ -74,13 +75,13 @@
   return out.str();
 }
 
-net::Socket* CancellableSocket::renew() {
+net::Socket* CancellableSocket::replace() {
   const std::lock_guard lock(mutex_);
   if (stopped_) return nullptr;
   socket_ = std::make_unique<net::Socket>();
   return socket_.get();
 }
-void CancellableSocket::drop() {
+void CancellableSocket::close() {
   const std::lock_guard lock(mutex_);
   if (!stopped_) socket_.reset();
 }
@@ -93,12 +94,13 @@
 Client::Client(std::vector<config::Endpoint> endpoints, std::uint64_t seed, net::Time::duration max_backoff)
     : endpoints_(std::move(endpoints), seed, max_backoff) {}
 
-// The open connection unless the store has closed it meanwhile; else a new one.
+// Returns the open connection, or a new one if the store has closed it.
 net::Socket* Client::connected(net::Time deadline, net::ConnectFailure* failure) {
-  char unexpected = 0;  // any byte, or the end, before a request: the connection is of no use
+  // Input or end of stream while no request is pending makes the connection unusable.
+  char unexpected = 0;
   net::Socket* reusable = connection_.get();
   if (reusable && !reusable->try_read(&unexpected, 1)) return reusable;
-  net::Socket* fresh = connection_.renew();
+  net::Socket* fresh = connection_.replace();
   failure->why = "client stopped";
   return fresh && fresh->connect(endpoints_.current(), deadline, failure) ? fresh : nullptr;
 }
@@ -108,7 +110,7 @@
   net::ConnectFailure failure;
   net::Socket* socket = connected(deadline, &failure);
   if (!socket) {
-    connection_.drop();
+    connection_.close();
     endpoints_.record_failure(net::now());
     return Failed{failure.why, false};
   }
@@ -116,7 +118,7 @@
   const std::string bytes = serialize_http_request(call, endpoints_.current());
   const auto written = write_until(*socket, bytes, deadline);
   const auto response = written == bytes.size() ? read_response(*socket, deadline) : std::nullopt;
-  if (!response || !response->keep_alive) connection_.drop();
+  if (!response || !response->keep_alive) connection_.close();
   if (response) {
     endpoints_.record_success(net::now());
     return decode(request, response->status, response->body);
--- a/src/store/endpoint_rotation.cpp
+++ b/src/store/endpoint_rotation.cpp
@@ -22,13 +22,13 @@
 }
 
 // Failure: all managers reconnect at once when the store recovers.
-// Symptom: a burst of connections that takes the store down again.
-// Guard: the delay is drawn from an interval that grows with the outage, up to max_backoff_.
+// Symptom: the burst of connections overloads the store again.
+// Guard: the delay is drawn from an interval that grows with the length of the outage, up to max_backoff_.
 void EndpointRotation::record_failure(Time now) {
   unavailable_since_ = std::min(unavailable_since_, now);
   current_ = (current_ + 1) % endpoints_.size();
   ++consecutive_failures_;
-  if (consecutive_failures_ % endpoints_.size() != 0) return;  // another endpoint may answer at once
+  if (consecutive_failures_ % endpoints_.size() != 0) return;  // another endpoint is tried without a delay
   std::uniform_real_distribution<double> draw(0, 1);
   const Duration outage = now - unavailable_since_;
   const Duration max_delay = std::min(max_backoff_, std::max(backoff_, kBackoffPerOutage * outage));
--- a/src/store/endpoint_rotation.h
+++ b/src/store/endpoint_rotation.h
@@ -1,10 +1,10 @@
-// Chooses which endpoint of the store is called next, and the earliest time for that call.
+// Chooses the endpoint of the store for the next call, and the earliest time for that call.
 //
-// Each manager starts at an endpoint drawn from its own seed and stays there while it answers. A failure
-// moves it to the next endpoint. Once all have failed in a row, it backs off for a random part of ten times
-// the length of the outage, `max_backoff` at most.
+// Each manager starts at an endpoint drawn from its own seed and uses it as long as it responds. A failure
+// moves the manager to the next endpoint. Once all endpoints have failed in a row, it backs off for a random
+// part of ten times the length of the outage, at most `max_backoff`.
 //
-// Pure: takes outcomes with a time. Not thread-safe. Memory: the list of endpoints.
+// Reads no clock: takes outcomes with a time. Not thread-safe. Memory: the list of endpoints.
 #pragma once
 
 #include <cstdint>
@@ -22,13 +22,13 @@
 class EndpointRotation {
  public:
   static constexpr Duration kInitialBackoff = std::chrono::milliseconds(200);
-  static constexpr int kBackoffPerOutage = 10;  // ratio: longest backoff over the length of the outage
+  static constexpr int kBackoffPerOutage = 10;  // ratio of the longest backoff to the length of the outage
 
-  // Throws std::invalid_argument where `endpoints` is empty.
+  // Throws std::invalid_argument if `endpoints` is empty.
   EndpointRotation(std::vector<config::Endpoint> endpoints, std::uint64_t seed, Duration max_backoff);
 
   const config::Endpoint& current() const { return endpoints_[current_]; }
-  Time next_attempt_at() const { return next_attempt_at_; }  // Time::min(): at once
+  Time next_attempt_at() const { return next_attempt_at_; }  // Time::min(): immediately
   void record_success(Time now);
   void record_failure(Time now);
 
--- a/src/store/gateway_decode.cpp
+++ b/src/store/gateway_decode.cpp
@@ -7,8 +7,8 @@
 namespace yokestream::store {
 namespace {
 
-// gRPC status codes, as the gateway reports them, under which the store has certainly changed nothing. All
-// others (unavailable, deadline exceeded, unknown) may follow a change that was made.
+// gRPC status codes, as reported by the gateway, after which the store is certainly unchanged. After any
+// other code (unavailable, deadline exceeded, unknown) the change may have been made.
 constexpr int kInvalidArgument = 3;
 constexpr int kNotFound = 5;
 constexpr int kPermissionDenied = 7;
@@ -18,6 +18,8 @@
 constexpr int kUnimplemented = 12;
 constexpr int kUnauthenticated = 16;
 
+constexpr std::size_t kMaxMessageBytes = 200;  // of the store's error message, in a cause
+
 bool leaves_store_unchanged(int code) {
   return code == kInvalidArgument || code == kNotFound || code == kPermissionDenied ||
          code == kResourceExhausted || code == kFailedPrecondition || code == kOutOfRange ||
@@ -26,11 +28,11 @@
 
 std::optional<Json::Value> parse(std::string_view text) {
   constexpr int kMaxDepth = 32;
-  auto value = base::read_json(text, text.size(), kMaxDepth);  // its reader has bounded it
+  auto value = base::read_json(text, text.size(), kMaxDepth);  // the reader has limited its size
   return value && value->isObject() ? value : std::nullopt;
 }
 
-// A field of the wrong type or value makes the whole message malformed. Caught in this file.
+// Thrown for a field of the wrong type or value, and caught in this file: the whole message is malformed.
 struct MalformedReply {};
 
 const Json::Value& member(const Json::Value& object, const char* name) {
@@ -83,7 +85,7 @@
   return revision;
 }
 
-// Reads the result of each kind of request; throws MalformedReply where a required field is missing.
+// Reads the result of each kind of request; throws MalformedReply if a required field is missing.
 void read_result(const Txn& txn, const Json::Value& v, Completed& done) {
   done.succeeded = flag(member(v, "succeeded"));
   const auto& operations = done.succeeded ? txn.on_success : txn.on_failure;
@@ -103,7 +105,7 @@
   if (done.lease == LeaseId::none || done.ttl_s <= 0) throw MalformedReply{};
 }
 void read_result(const KeepLeaseAlive& request, const Json::Value& v, Completed& done) {
-  // a stream of one message
+  // The gateway sends the reply as a stream of one message.
   const Json::Value& result = member(v, "result");
   if (!result.isObject()) throw MalformedReply{};
   done.lease = LeaseId(number(member(result, "ID")));
@@ -119,7 +121,8 @@
   try {
     if (const auto v = parse(body)) {
       code = static_cast<int>(number(member(*v, "code")));
-      if (member(*v, "message").isString()) cause += ": " + member(*v, "message").asString().substr(0, 200);
+      if (member(*v, "message").isString())
+        cause += ": " + member(*v, "message").asString().substr(0, kMaxMessageBytes);
     }
   } catch (const MalformedReply&) {
     code = 0;
--- a/src/store/watcher.cpp
+++ b/src/store/watcher.cpp
@@ -17,10 +17,10 @@
 struct Watcher::Parser {
   Parser() {
     message.eager(true);
-    message.body_limit(boost::none);  // a watch is unlimited; read() bounds what is buffered
+    message.body_limit(boost::none);  // a watch has no end; read() limits the buffered bytes
   }
   http::response_parser<http::string_body> message;
-  std::string unparsed;  // received, not consumed by `message` yet
+  std::string unparsed;  // received but not consumed by `message` yet
 };
 
 Watcher::Watcher() = default;
@@ -30,23 +30,23 @@
 
 void Watcher::close() {
   parser_.reset();
-  connection_.drop();
+  connection_.close();
 }
 
 bool Watcher::open(const WatchRequest& watch, const config::Endpoint& at, net::Time deadline) {
   close();
-  net::Socket* socket = connection_.renew();
+  net::Socket* socket = connection_.replace();
   net::ConnectFailure failure;
   const std::string bytes = serialize_http_request(encode(watch), at);
-  // a request of some hundred bytes fits the send buffer of a new connection
+  // A request of a few hundred bytes fits into the send buffer of a new connection.
   if (socket && socket->connect(at, deadline, &failure) && socket->try_write(bytes) == bytes.size())
     parser_ = std::make_unique<Parser>();
   else
-    connection_.drop();
+    connection_.close();
   return is_open();
 }
 
-// Each message is a line.
+// Each message is one line of the body.
 bool Watcher::parse_messages(std::deque<WatchResponse>& out) {
   if (!parser_->message.is_header_done()) return true;
   if (parser_->message.get().result_int() != 200) return false;
--- a/src/store/watcher.h
+++ b/src/store/watcher.h
@@ -1,6 +1,7 @@
-// One watch of the store on a connection of its own: opened by a blocking call, then read as bytes arrive.
+// One watch of the store on a connection of its own, opened by a blocking call and then read without
+// blocking.
 //
-// Not thread-safe, except stop(). Memory: one message of at most kMaxReplyBytes. Descriptors: one.
+// Not thread-safe except stop(). Memory: one message of at most kMaxReplyBytes. Descriptors: one.
 #pragma once
 
 #include <deque>
@@ -16,13 +17,14 @@
  public:
   Watcher();
   ~Watcher();
-  // Closes the watch that was open. False: the new one could not be opened by `deadline`.
+  // Closes the current watch and opens a new one. False: it could not be opened by `deadline`.
   bool open(const WatchRequest& watch, const config::Endpoint& at, net::Time deadline);
   void close();
-  void stop() { connection_.stop(); }  // any thread: for good
+  void stop() { connection_.stop(); }  // any thread; permanent
   bool is_open() const { return parser_ != nullptr; }
   int descriptor() const;  // to poll for input; -1: not open
-  // Messages that have arrived; never blocks. is_open() is false afterwards if the watch ended.
+  // Returns the messages that have arrived; never blocks. Afterwards is_open() is false if the watch has
+  // ended.
   std::deque<WatchResponse> read();
 
  private:
--- a/tests/node/coordination_fixture.h
+++ b/tests/node/coordination_fixture.h
@@ -1,4 +1,5 @@
-// Shared by the tests of coordination: settings without faults, and readers of the simulated store.
+// Shared by the tests of coordination: settings without injected faults, and helpers that read the simulated
+// store.
 #pragma once
 
 #include <doctest/doctest.h>
--- a/tests/node/coordination_random_faults_test.cpp
+++ b/tests/node/coordination_random_faults_test.cpp
@@ -1,13 +1,13 @@
-// Coordination under random faults on the virtual clock, and each rule of the checker shown to find its
-// violation.
+// Coordination under random faults on the virtual clock, and proof that the checker detects a violation of
+// each rule.
 #include "coordination_fixture.h"
 
 namespace yokestream::test {
 namespace {
 
-// Failure: processes are killed, paused, partitioned and slowed at random for a quarter of an hour.
-// Expected: no rule of the checker is violated, and the fleet has a leader and new tables in the end.
-TEST_CASE("under random faults there is one leader, tokens grow, and shares never exceed the whole") {
+// Failure: processes are killed, paused, partitioned and slowed at random for 15 minutes.
+// Expected: the checker finds no violation, and the fleet ends with a leader and new tables.
+TEST_CASE("random faults never cause two leaders, decreasing tokens or shares above the whole") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     DutySettings settings;
     settings.processes = 3 + seed % 5;
@@ -24,7 +24,7 @@
   }
 }
 
-// The first violation that the checker finds with one guard disabled; empty: none.
+// Returns the first violation that the checker finds with one guard disabled; empty: none.
 std::string violation_without(unsigned guard) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     DutySettings settings;
@@ -50,8 +50,8 @@
 }
 
 // Failure: clock rates differ by 40 percent, far beyond Settings::clock_drift.
-// Expected: shares exceed the whole at some moment, which shows that the checker measures it.
-TEST_CASE("the checker finds the violation when clock rates differ by more than the settings assume") {
+// Expected: the shares in effect exceed the whole at some time, and the checker reports it.
+TEST_CASE("the checker reports excessive shares when clock rates differ by more than the settings allow") {
   DutySettings settings;
   settings.processes = 4;
   settings.rates = 0.4;
@@ -75,8 +75,8 @@
 }
 
 // Failure: one guard of the protocol is missing.
-// Expected: the checker reports the rule that this guard protects, and nothing with all guards in place.
-TEST_CASE("the checker names the rule whose guard is disabled") {
+// Expected: the checker reports the rule that the guard enforces, and nothing with all guards enabled.
+TEST_CASE("the checker reports the rule whose guard is disabled") {
   CHECK(violation_without(0) == "");
   CHECK(violation_without(coordination::Settings::kFencing).rfind("S1", 0) == 0);
   CHECK(violation_without(coordination::Settings::kAcknowledged).rfind("S3", 0) == 0);
--- a/tests/node/leader_election_search_test.cpp
+++ b/tests/node/leader_election_search_test.cpp
@@ -1,6 +1,6 @@
-// Exhaustive search, within bounds, of all states of two candidates and their store: calls that are lost,
-// delivered after the caller timed out, or overtaken; leases that end unnoticed; late watch events; a leader
-// without progress. States are hashed and counted.
+// Exhaustive bounded search of all states of two candidates and their store: calls that are lost, delivered
+// after the caller has timed out, or reordered; leases that end unnoticed; late watch events; a leader that
+// makes no progress. Visited states are hashed and counted.
 #include <deque>
 #include <unordered_set>
 
@@ -13,27 +13,27 @@
 using coordination::LeaderElection;
 
 constexpr std::size_t kCandidates = 2;
-constexpr std::size_t kMaxCallsInTransit =
-    1;  // calls of one candidate: one that timed out is delivered late or lost before the next
-constexpr store::Revision kMaxRevision = 7;
-constexpr int kMaxWrites = 1;  // of one candidate
+// Calls of one candidate: one that timed out is delivered late or lost before the next one is sent.
+constexpr std::size_t kMaxCallsInTransit = 1;
+constexpr store::Revision kMaxRevision = 7;  // states beyond this revision are not searched
+constexpr int kMaxWrites = 1;                // state writes of one candidate
 const Time kNow{1000s};
 const coordination::Settings kSettings;
 const std::string kCandidatesPrefix = "d/line/", kProgressKey = "d/beat", kStateKey = "d/state";
 
 struct Call {
   store::Request request;
-  std::string digest = store::encode(request).body;  // computed once, copied from state to state
+  std::string digest = store::encode(request).body;  // computed once, as states are copied often
 };
 struct Candidate {
   LeaderElection election{kSettings, kCandidatesPrefix, kProgressKey};
-  std::optional<store::Request> in_flight;  // the request that it waits for
+  std::optional<store::Request> in_flight;  // the request that awaits its reply
   std::vector<Call> in_transit;
   std::optional<store::Reply> reply_pending;
   std::size_t incarnation = 0;
   int writes = 0;
-  bool lease_ended = false, writing = false, late_clock = false;
-  Time now() const { return late_clock ? kNow + kSettings.progress_timeout + 1s : kNow; }
+  bool lease_ended = false, writing = false, clock_advanced = false;
+  Time now() const { return clock_advanced ? kNow + kSettings.progress_timeout + 1s : kNow; }
 };
 struct World {
   standin::StoreModel store;
@@ -52,7 +52,7 @@
     out += kv.key + std::to_string(kv.create_revision) + ',' + std::to_string(kv.mod_revision) + kv.value;
   for (const auto& c : w.candidates) {
     out += '\n' + c.election.digest() + std::to_string(c.incarnation) + std::to_string(c.writes);
-    for (const bool b : {c.lease_ended, c.writing, c.late_clock, c.in_flight.has_value()})
+    for (const bool b : {c.lease_ended, c.writing, c.clock_advanced, c.in_flight.has_value()})
       out += b ? '1' : '0';
     for (const auto& m : c.in_transit) out += '>' + m.digest;
     if (const auto* done = c.reply_pending ? std::get_if<store::Completed>(&*c.reply_pending) : nullptr) {
@@ -65,7 +65,7 @@
   return out;
 }
 
-// S1: the state is written by the leader alone, under a token that never decreases.
+// S1: only the leader writes the state, under a fencing token that never decreases.
 void check(World& w) {
   const auto state = w.store.range({kStateKey, {}, 0});
   if (state.empty() || state[0].mod_revision != w.store.revision()) return;
@@ -74,12 +74,12 @@
     oldest = oldest == 0 ? kv.create_revision : std::min(oldest, kv.create_revision);
   const store::Revision token = std::stoll(state[0].value);
   if (token != oldest)
-    w.violation = "S1: term " + state[0].value + ", the owner's is " + std::to_string(oldest);
-  if (token < w.last_token) w.violation = "S1: an older term";
+    w.violation = "S1: written under token " + state[0].value + ", the leader's is " + std::to_string(oldest);
+  if (token < w.last_token) w.violation = "S1: the token decreased";
   w.last_token = token;
 }
 
-// Every step that candidate p and its link to the store can take from this state.
+// Visits the result of each step that candidate p and its link to the store can take from this state.
 template <class Visit>
 void steps(const World& from, std::size_t p, bool guarded, Visit visit) {
   const auto step = [&](auto change) {
@@ -113,7 +113,7 @@
     step([&](World&, Candidate& n) {
       n.in_transit.erase(n.in_transit.begin() + static_cast<long>(m));
     });                                 // lost
-    step([&](World& w, Candidate& n) {  // delivered; a caller that timed out gets no reply
+    step([&](World& w, Candidate& n) {  // delivered; no reply if the caller has timed out
       const auto result = w.store.handle(kNow, n.in_transit[m].request);
       const bool awaited = n.in_flight && m + 1 == n.in_transit.size();
       n.in_transit.erase(n.in_transit.begin() + static_cast<long>(m));
@@ -130,7 +130,7 @@
     if (done && !done->succeeded) n.election.on_leadership_lost();
   };
   if (c.reply_pending) step([&](World&, Candidate& n) { deliver(n, store::Reply(*n.reply_pending)); });
-  if (c.in_flight)  // timeout: the request may still be delivered, or its reply was lost
+  if (c.in_flight)  // time-out: the request may still be delivered, or its reply was lost
     step([&](World&, Candidate& n) {
       const store::Reply no_reply = store::may_change(*n.in_flight) ? store::Reply(store::OutcomeUnknown{""})
                                                                     : store::Failed{"", false};
@@ -141,7 +141,7 @@
       n.lease_ended = true;
       w.store.handle(kNow, store::RevokeLease{lease_of(p, n.incarnation)});
     });
-  if (c.lease_ended && !c.in_flight)  // it notices, and becomes a candidate again
+  if (c.lease_ended && !c.in_flight)  // the candidate notices and joins again
     step([&](World&, Candidate& n) {
       n.lease_ended = false;
       ++n.incarnation;
@@ -150,13 +150,13 @@
   const auto predecessor = c.election.predecessor_watch();
   if (predecessor && from.store.range({predecessor->key, {}, 0}).empty())
     step([&](World&, Candidate& n) { n.election.on_predecessor_gone(); });
-  if (p == 1 && !c.late_clock) step([&](World&, Candidate& n) { n.late_clock = true; });
+  if (p == 1 && !c.clock_advanced) step([&](World&, Candidate& n) { n.clock_advanced = true; });
 }
 
 struct SearchResult {
   std::size_t states = 0;
   std::string violation;
-  bool both_led = false;  // one after the other: the search covers a change of leader
+  bool both_led = false;  // one after the other, so that the search covers a change of leader
 };
 SearchResult search(bool guarded) {
   World begin;
@@ -181,7 +181,7 @@
   return result;
 }
 
-TEST_CASE("no order of calls, losses, pauses and lease ends lets a former leader write") {
+TEST_CASE("a former leader can't write in any order of calls, losses, pauses and lease ends") {
   const SearchResult result = search(true);
   MESSAGE("states: " << result.states);
   CHECK(result.violation == "");
@@ -189,9 +189,9 @@
   CHECK(result.states > 10'000);
 }
 
-TEST_CASE("without the comparison of the fencing token the search finds a former leader's write") {
+TEST_CASE("the search finds a write of a former leader if writes don't compare the fencing token") {
   const SearchResult result = search(false);
-  MESSAGE("states until it was found: " << result.states);
+  MESSAGE("states until the violation was found: " << result.states);
   CHECK(result.violation.rfind("S1", 0) == 0);
 }
 
--- a/tests/node/store_test.cpp
+++ b/tests/node/store_test.cpp
@@ -1,5 +1,5 @@
-// The store's client: the gateway codec, the endpoint rotation, and calls to the fake store over a link that
-// fails at each step.
+// The store's client: the gateway codec, the endpoint rotation, and calls to the fake store over a link on
+// which each step can fail.
 #include <doctest/doctest.h>
 
 #include <set>
@@ -22,7 +22,7 @@
 
 constexpr auto kCallTimeout = 2s;
 
-TEST_CASE("base64 decodes what it encoded and rejects what is malformed") {
+TEST_CASE("base64 decoding restores encoded bytes and rejects malformed text") {
   Steps steps(1);
   for (int i = 0; i < 300; ++i) {
     std::string bytes(steps.below(70), '\0');
@@ -33,7 +33,7 @@
     CHECK_FALSE(from_base64(bad));
 }
 
-TEST_CASE("a malformed reply is an unknown outcome where the call writes and a failure where it reads") {
+TEST_CASE("a malformed reply is an unknown outcome if the call writes and a failure if it only reads") {
   const Request txn = Txn{{}, {Put{"k", "v", {}}}, {}}, range = Range{"k", {}, 0};
   Steps steps(2);
   const std::string good =
@@ -59,9 +59,9 @@
   CHECK_FALSE(decode_watch_response(R"({"result":{"events":[{"kv":{}}]}})"));
 }
 
-// Failure: the store is away for a minute, then all managers reconnect in the same second.
-// Expected: their attempts are spread, so the store is not overloaded by its own recovery.
-TEST_CASE("300 clients that lost the store reconnect over a minute, at most 15 a second") {
+// Failure: the store is unavailable for a minute, then all managers reconnect in the same second.
+// Expected: random backoff spreads the attempts, so that they do not overload the recovering store.
+TEST_CASE("300 clients reconnect after a one-minute outage at no more than 15 per second") {
   std::map<std::int64_t, int> by_second;
   for (std::uint64_t seed = 0; seed < 300; ++seed) {
     EndpointRotation rotation(std::vector<config::Endpoint>(3), seed * 7919, 75s);
@@ -99,7 +99,7 @@
 };
 
 TEST_CASE_FIXTURE(StoreOverLink,
-                  "transactions, leases and reads at a revision give over the wire what the model gives") {
+                  "transactions, leases and reads at a revision return the model's results over the wire") {
   const auto lease = std::get<Completed>(call(GrantLease{5})).lease;
   const Txn campaign{{{Compare::Target::create_revision, "a/k", 0, {}}},
                      {Put{"a/k", std::string("\0\xff", 2), lease}, Range{"a/", "a0", 0}},
@@ -121,7 +121,7 @@
 }
 
 // Failure: the store commits a transaction and its reply is lost.
-// Expected: the client must not report it as failed, or its caller would repeat a write that counted.
+// Expected: the client does not report a failure, as its caller would then repeat a write that was applied.
 TEST_CASE_FIXTURE(StoreOverLink, "a reply lost after the commit is an unknown outcome, not a failure") {
   server.lose_reply([](const Txn&) { return true; });
   CHECK(holds<OutcomeUnknown>(call(put("1"))));
@@ -131,11 +131,11 @@
   CHECK(holds<Completed>(call(put("2"))));
 }
 
-// Failure: the network holds a request beyond its deadline and delivers it later, or loses the reply.
-// Expected: a write has an unknown outcome; a read has simply failed.
+// Failure: the network delays a request beyond its deadline and delivers it later, or loses the reply.
+// Expected: a write has an unknown outcome; a read has failed.
 TEST_CASE_FIXTURE(
     StoreOverLink,
-    "a call that is not delivered in time is an unknown outcome, and is applied when it arrives late") {
+    "a write that is not delivered in time has an unknown outcome and is applied when it arrives late") {
   CHECK(holds<Completed>(call(put("0"))));
   link.there(Link::Way::hold);
   CHECK(holds<OutcomeUnknown>(call(put("1"), 100ms)));
@@ -151,7 +151,7 @@
 }
 
 // Failure: the store first answers with errors, then refuses connections, then recovers.
-// Expected: no call is reported as complete meanwhile, and calls succeed again after the backoff.
+// Expected: no call is reported as completed meanwhile, and calls succeed again after the backoff.
 TEST_CASE_FIXTURE(StoreOverLink,
                   "a store that refuses connections or reports errors is retried after its backoff") {
   server.fail_writes(standin::StoreModel::kUnavailable);
@@ -169,8 +169,8 @@
   CHECK(value() == "3");
 }
 
-// Failure: the process shuts down while a call waits for a reply that never comes.
-// Expected: the call returns at once instead of at its deadline of a minute.
+// Failure: the process shuts down while a call waits for a reply that never arrives.
+// Expected: the call returns immediately instead of at its deadline after a minute.
 TEST_CASE_FIXTURE(StoreOverLink, "stop() ends the call in progress and fails all later ones") {
   link.back(Link::Way::lose);
   net::Thread stopper("stopper", net::kLargeStack, [&] {
@@ -186,8 +186,8 @@
   bool open(Revision from) {
     return watcher.open({"a/", prefix_range_end("a/"), from}, link.endpoint(), now() + kCallTimeout);
   }
-  std::vector<std::string> read_values(
-      std::size_t events) {  // values; "-": removed. Until `events` of them, or the watch ends
+  // Reads until `events` events have arrived or the watch has ended. Returns their values; "-" for a removal.
+  std::vector<std::string> read_values(std::size_t events) {
     std::vector<std::string> out;
     while (out.size() < events && watcher.is_open()) {
       for (const auto& message : watcher.read()) {
@@ -201,7 +201,7 @@
   }
 };
 
-// Failure: the connection of a watch is closed under it.
+// Failure: the connection of an open watch is closed.
 // Expected: the watch reports its end, so that its user reads all keys again.
 TEST_CASE_FIXTURE(
     WatchOverLink,
@@ -219,7 +219,7 @@
 }
 
 // Failure: a watch starts at a revision that the store has compacted.
-// Expected: it is told so, instead of silently missing changes.
+// Expected: the watch is canceled with the compact revision instead of silently missing changes.
 TEST_CASE_FIXTURE(WatchOverLink, "a watch of a compacted revision is canceled with the compact revision") {
   CHECK(holds<Completed>(call(put("1"))));
   server.with([](auto& model) { model.compact(); });
--- a/tests/processes/fleet_store_test.cpp
+++ b/tests/processes/fleet_store_test.cpp
@@ -82,7 +82,7 @@
     server.wait([&](auto& model) { return beaten(model) > before; });
   }
   server.with([&](auto& model) { model = then; });
-  for (std::size_t i = 0; i < 3; ++i) CHECK(program(i).until("the store was set back to an older state"));
+  for (std::size_t i = 0; i < 3; ++i) CHECK(program(i).until("the store was restored from an older backup"));
   server.wait([](auto& model) { return all(model, kNames.member()).empty(); });  // their leases have ended
   CHECK(server.with([&](auto& model) { return table(model) == table(const_cast<StoreModel&>(then)); }));
 }
@@ -91,9 +91,9 @@
   Fickle engine(0, true);
   standin::StoreServer server;
   for (const auto& [key, words] :
-       {std::pair{kNames.format(), "the store holds another form under /yokestream/"},
+       {std::pair{kNames.format(), "unsupported storage format under /yokestream/"},
         std::pair{kNames.task_state(coordination::FleetMember::kLoadShareTask),
-                  "the store's record /yokestream/state/shares can't be read"}}) {
+                  "malformed record in the store: /yokestream/state/shares"}}) {
     server.with([&, &at = key](auto& model) {
       model = StoreModel();
       model.handle(net::now(), store::Txn{{}, {store::Put{at, "another program's", {}}}, {}});
