--- a/src/coordination/leader_election.cpp
+++ b/src/coordination/leader_election.cpp
@@ -35,7 +35,7 @@
   if (resigning_) return Step::withdraw;
   if (candidate_revision_ == 0) return Step::join;
   if (predecessor_key_.empty()) return Step::read_candidates;  // to confirm that this one still leads
-  if (!is_progress_overdue()) return Step::read_progress;
+  if (!progress_timed_out()) return Step::read_progress;
   // The leader has made no progress for the timeout: reads whether the predecessor is still the leader.
   if (candidates_read_at_ < progress_since_ + settings_.progress_timeout) return Step::read_candidates;
   return predecessor_is_leader_ ? Step::remove_leader : Step::read_progress;
@@ -136,7 +136,7 @@
   for (const auto number : {candidate_revision_, predecessor_revision_, progress_revision_})
     out += '|' + std::to_string(number);
   for (const bool flag : {in_flight_, needs_reread_, outcome_unknown_, resigning_, predecessor_is_leader_,
-                          is_progress_overdue()})
+                          progress_timed_out()})
     out += flag ? '1' : '0';
   return out;
 }
--- a/src/coordination/leader_election.h
+++ b/src/coordination/leader_election.h
@@ -69,7 +69,7 @@
 
  private:
   enum class Step { join, read_candidates, withdraw, read_progress, remove_leader };
-  bool is_progress_overdue() const {
+  bool progress_timed_out() const {
     return progress_read_at_ >= progress_since_ + settings_.progress_timeout;
   }
   Step next_step() const;
