--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -76,7 +76,8 @@
   std::vector<config::Member> engines;
   for (const auto& event : loaded.config.known)
     engines.insert(engines.end(), event.members.begin(), event.members.end());
-  if (plan) migration::check_against(*plan, loaded.config.fleet.movable_areas, engines, problems);
+  if (plan)
+    migration::check_against_installation(*plan, loaded.config.fleet.movable_areas, engines, problems);
   if (!problems.empty()) {
     std::string message = path + ":";
     for (const auto& problem : problems) message += "\n  " + problem;
@@ -117,8 +118,8 @@
   std::map<std::string, coordination::MemberRecord> live_members;
   for (const auto& [session, text] : client.read_all(client.keys().member()))
     live_members[session] = coordination::decode_member_record(text).value_or(coordination::MemberRecord{});
-  std::cout << migration::status(client.record(), live_members, migration::MigrationTask::kName,
-                                 client.read_all(client.keys().staff_requests()))
+  std::cout << migration::format_status(client.record(), live_members, migration::MigrationTask::kName,
+                                        client.read_all(client.keys().staff_requests()))
             << std::flush;
   return 0;
 }
--- a/src/migration/check_plan.cpp
+++ b/src/migration/check_plan.cpp
@@ -15,7 +15,7 @@
   AreaPositions positions;
   for (std::size_t i = 0; i < plan.moves.size(); ++i) {
     const Move& move = plan.moves[i];
-    const std::string path = item("moves", i);
+    const std::string path = indexed_path("moves", i);
     if (!plan.origins.count(move.from)) problems.push_back(path + ".from: no such origin");
     if (!plan.origins.count(move.to)) problems.push_back(path + ".to: no such origin");
     if (move.from == move.to) problems.push_back(path + ".to: where it comes from");
@@ -29,7 +29,8 @@
     const auto& after = plan.moves[i].after;
     for (std::size_t j = 0; j < after.size(); ++j)
       if (!positions.count(after[j]))
-        problems.push_back(item(item("moves", i) + ".after", j) + ": an area that this plan does not move");
+        problems.push_back(indexed_path(indexed_path("moves", i) + ".after", j) +
+                           ": an area that this plan does not move");
   }
 }
 
@@ -48,7 +49,7 @@
   }
   for (std::size_t i = 0; i < plan.moves.size(); ++i)
     if (!placed.count(plan.moves[i].area))
-      problems.push_back(item("moves", i) + ".after: it waits for itself");
+      problems.push_back(indexed_path("moves", i) + ".after: it waits for itself");
 }
 
 bool grows(const Stage& before, const Stage& stage) {
@@ -60,7 +61,7 @@
 void check_stages(const Plan& plan, Problems& problems) {
   for (std::size_t i = 0; i < plan.stages.size(); ++i) {
     const Stage& stage = plan.stages[i];
-    const std::string path = item("stages", i);
+    const std::string path = indexed_path("stages", i);
     const bool is_last = i + 1 == plan.stages.size();
     if (is_last && (stage.edge_share < 1 || stage.traffic_share < 1))
       problems.push_back(path + ": the last stage is not all of the edges and all of the traffic");
@@ -80,11 +81,11 @@
   check_stages(plan, problems);
 }
 
-void check_against(const Plan& plan, const std::vector<TableGroupId>& movable,
-                   const std::vector<config::Member>& engines, Problems& problems) {
+void check_against_installation(const Plan& plan, const std::vector<TableGroupId>& movable,
+                                const std::vector<config::Member>& engines, Problems& problems) {
   for (std::size_t i = 0; i < plan.moves.size(); ++i)
     if (std::find(movable.begin(), movable.end(), plan.moves[i].area) == movable.end())
-      problems.push_back(item("moves", i) + ".area: not among fleet.areas of the operator file");
+      problems.push_back(indexed_path("moves", i) + ".area: not among fleet.areas of the operator file");
   for (const auto& named : plan.origins)
     if (std::none_of(engines.begin(), engines.end(), [&](const auto& e) { return named.second.contains(e); }))
       problems.push_back("origins." + named.first + ": no engine matches it");
--- a/src/migration/migration_task.cpp
+++ b/src/migration/migration_task.cpp
@@ -14,11 +14,11 @@
 }
 
 std::optional<routing::RouteTable> MigrationTask::derive_routing_table() const {
-  auto table = table_of(record_, session_);
+  auto table = routing_table_for(record_, session_);
   if (!table && (disabled_guards_ & kRoster) && record_.epoch >= 0) {
     MigrationRecord unguarded = record_;
     unguarded.roster[session_] = session_;
-    return table_of(unguarded, session_);
+    return routing_table_for(unguarded, session_);
   }
   return table;
 }
@@ -28,10 +28,10 @@
   std::map<std::string, std::vector<std::int64_t>> out;
   for (const PlanProgress& progress : record_.plans) {
     auto& sum = out[progress.plan.name];
-    sum = numbers({}, {});
+    sum = tally_numbers({}, {});
     for (const Move& move : progress.plan.moves)
       if (const auto entry = by_area.find(move.area); entry != by_area.end())
-        add(sum, numbers(entry->second.first, entry->second.second), 1);
+        add_tally(sum, tally_numbers(entry->second.first, entry->second.second), 1);
   }
   return out;
 }
@@ -214,9 +214,9 @@
   for (const auto& [session, member] : fleet.members) {
     const auto current = member.tallies.find(progress.plan.name);
     if (current == member.tallies.end()) continue;
-    add(sum, current->second, 1);
+    add_tally(sum, current->second, 1);
     const auto initial = span.initial_tallies.find(session);
-    if (initial != span.initial_tallies.end()) add(sum, initial->second, -1);
+    if (initial != span.initial_tallies.end()) add_tally(sum, initial->second, -1);
   }
   return migration::judge(*progress.plan.gate, sum, progress.rolling_back);
 }
--- a/src/migration/outcome_gate.cpp
+++ b/src/migration/outcome_gate.cpp
@@ -14,12 +14,12 @@
 
 }  // namespace
 
-std::vector<std::int64_t> numbers(const OutcomeTally& old_side, const OutcomeTally& new_side) {
+std::vector<std::int64_t> tally_numbers(const OutcomeTally& old_side, const OutcomeTally& new_side) {
   return {old_side.total, old_side.served, old_side.elapsed_us, old_side.estimated_us,
           new_side.total, new_side.served, new_side.elapsed_us, new_side.estimated_us};
 }
 
-void add(std::vector<std::int64_t>& sum, const std::vector<std::int64_t>& addend, int sign) {
+void add_tally(std::vector<std::int64_t>& sum, const std::vector<std::int64_t>& addend, int sign) {
   sum.resize(kNumbers);
   for (std::size_t i = 0; i < std::min(kNumbers, addend.size()); ++i) sum[i] += sign * addend[i];
 }
--- a/src/migration/outcome_gate.h
+++ b/src/migration/outcome_gate.h
@@ -16,8 +16,8 @@
 using routing::OutcomeTally;
 
 // Both sides of a plan as the numbers of a MemberRecord, old side first, and their sums.
-std::vector<std::int64_t> numbers(const OutcomeTally& old_side, const OutcomeTally& new_side);
-void add(std::vector<std::int64_t>& sum, const std::vector<std::int64_t>& addend, int sign);
+std::vector<std::int64_t> tally_numbers(const OutcomeTally& old_side, const OutcomeTally& new_side);
+void add_tally(std::vector<std::int64_t>& sum, const std::vector<std::int64_t>& addend, int sign);
 
 struct Verdict {
   enum class Result { good, too_few, bad } result = Result::good;
--- a/src/migration/plan.h
+++ b/src/migration/plan.h
@@ -60,13 +60,14 @@
                             std::vector<std::string>& problems);
 Json::Value to_json(const routing::Origin& origin);
 
-inline std::string item(const std::string& path, std::size_t i) {
+inline std::string indexed_path(const std::string& path, std::size_t i) {
   return path + "[" + std::to_string(i) + "]";
 }
 // Checks the parts against each other; called by read_plan().
 void check_plan(const Plan& plan, std::vector<std::string>& problems);
 // Checks against one installation: the areas that may move there, and its engines.
-void check_against(const Plan& plan, const std::vector<TableGroupId>& movable,
-                   const std::vector<config::Member>& engines, std::vector<std::string>& problems);
+void check_against_installation(const Plan& plan, const std::vector<TableGroupId>& movable,
+                                const std::vector<config::Member>& engines,
+                                std::vector<std::string>& problems);
 
 }  // namespace yokestream::migration
--- a/src/migration/read_plan.cpp
+++ b/src/migration/read_plan.cpp
@@ -78,7 +78,7 @@
     if (list[i].isString() && !list[i].asString().empty())
       out.push_back(list[i].asString());
     else
-      problems.push_back(item(fields.path(key), i) + ": not a name");
+      problems.push_back(indexed_path(fields.path(key), i) + ": not a name");
   }
   return out;
 }
@@ -92,7 +92,7 @@
   move.to = fields.name("to");
   const Json::Value& after = fields.list("after", kMaxPrerequisites);
   for (Json::ArrayIndex i = 0; i < after.size(); ++i)
-    if (const auto area = read_unsigned(after[i], item(path + ".after", i), problems))
+    if (const auto area = read_unsigned(after[i], indexed_path(path + ".after", i), problems))
       move.after.push_back(TableGroupId{*area});
   fields.reject_unknown_keys();
   return move;
@@ -135,7 +135,7 @@
   origin.uids = read_names(fields, "uids", problems);
   const Json::Value& cells = fields.list("groups", 1024);
   for (Json::ArrayIndex i = 0; i < cells.size(); ++i)
-    if (const auto cell = read_unsigned(cells[i], item(path + ".groups", i), problems))
+    if (const auto cell = read_unsigned(cells[i], indexed_path(path + ".groups", i), problems))
       origin.cells.push_back(*cell);
   fields.reject_unknown_keys();
   return origin;
@@ -164,10 +164,10 @@
   }
   const Json::Value& moves = fields.list("moves", kMaxMoves);
   for (Json::ArrayIndex i = 0; i < moves.size(); ++i)
-    plan.moves.push_back(read_move(moves[i], item("moves", i), problems));
+    plan.moves.push_back(read_move(moves[i], indexed_path("moves", i), problems));
   const Json::Value& stages = fields.list("stages", kMaxStages);
   for (Json::ArrayIndex i = 0; i < stages.size(); ++i)
-    plan.stages.push_back(read_stage(stages[i], item("stages", i), problems));
+    plan.stages.push_back(read_stage(stages[i], indexed_path("stages", i), problems));
   const Json::Value& gate = fields.at("gate");
   if (!gate.isNull()) plan.gate = read_gate(gate, "gate", problems);
   const Json::Value& on_fail = fields.at("on_fail");
--- a/src/migration/record.cpp
+++ b/src/migration/record.cpp
@@ -62,7 +62,7 @@
   return static_cast<std::size_t>(std::count_if(record.roster.begin(), record.roster.end(),
                                                 [&](const auto& other) { return rank(other.second) < own; }));
 }
-bool is_among_first(std::size_t rank, const MigrationRecord& record, double share) {
+bool rank_in_leading_share(std::size_t rank, const MigrationRecord& record, double share) {
   return static_cast<double>(rank) < std::ceil(share * static_cast<double>(record.roster.size()) - 1e-9);
 }
 
@@ -120,12 +120,13 @@
   return problems.empty() && out.epoch >= 0 ? std::optional(std::move(out)) : std::nullopt;
 }
 
-bool among_first(const MigrationRecord& record, const std::string& session, const std::string& plan,
-                 double share) {
-  return record.roster.count(session) && is_among_first(rank_of(record, session, plan), record, share);
+bool is_in_leading_share(const MigrationRecord& record, const std::string& session, const std::string& plan,
+                         double share) {
+  return record.roster.count(session) && rank_in_leading_share(rank_of(record, session, plan), record, share);
 }
 
-std::optional<routing::RouteTable> table_of(const MigrationRecord& record, const std::string& session) {
+std::optional<routing::RouteTable> routing_table_for(const MigrationRecord& record,
+                                                     const std::string& session) {
   if (!record.roster.count(session)) return std::nullopt;
   routing::RouteTable out;
   out.epoch = record.epoch;
@@ -138,8 +139,8 @@
     std::vector<std::uint32_t> moved;  // by stage
     for (const Stage& stage : progress.plan.stages)
       moved.push_back(
-          is_among_first(rank, record, stage.edge_share)
-              ? static_cast<std::uint32_t>(std::lround(stage.traffic_share * routing::Rule::kAllRequests))
+          rank_in_leading_share(rank, record, stage.edge_share)
+              ? static_cast<std::uint32_t>(std::lround(stage.traffic_share * routing::Rule::kTrafficBuckets))
               : 0);
     std::map<std::string, std::size_t> at;
     for (const auto& [name, origin] : progress.plan.origins) {
@@ -151,10 +152,10 @@
       const std::size_t step = progress.steps[i];
       routing::Rule rule{at[move.from], at[move.to], 0, routing::Rule::Loads::from};
       if (step > progress.plan.stages.size()) {
-        rule.moved_requests = routing::Rule::kAllRequests;
+        rule.moved_buckets = routing::Rule::kTrafficBuckets;
         rule.loads = step == progress.done_step() ? routing::Rule::Loads::to : routing::Rule::Loads::nowhere;
       } else if (step > 0) {
-        rule.moved_requests = moved[step - 1];
+        rule.moved_buckets = moved[step - 1];
       }
       out.rules[move.area] = rule;
     }
--- a/src/migration/record.h
+++ b/src/migration/record.h
@@ -52,9 +52,10 @@
 std::optional<MigrationRecord> decode_record(std::string_view text);  // nullopt: malformed
 
 // The routing table of the member with this session; nullopt: it is not in the roster.
-std::optional<routing::RouteTable> table_of(const MigrationRecord& record, const std::string& session);
+std::optional<routing::RouteTable> routing_table_for(const MigrationRecord& record,
+                                                     const std::string& session);
 // Whether this member is in the first `share` (a ratio) of the roster, in an order by plan and name.
-bool among_first(const MigrationRecord& record, const std::string& session, const std::string& plan,
-                 double share);
+bool is_in_leading_share(const MigrationRecord& record, const std::string& session, const std::string& plan,
+                         double share);
 
 }  // namespace yokestream::migration
--- a/src/migration/status.cpp
+++ b/src/migration/status.cpp
@@ -29,10 +29,10 @@
                       const std::map<std::string, coordination::MemberRecord>& live_members) {
   if (!progress.plan.gate) return "";
   std::vector<std::int64_t> sum;
-  add(sum, {}, 1);
+  add_tally(sum, {}, 1);
   for (const auto& [session, member] : live_members)
     if (const auto entry = member.tallies.find(progress.plan.name); entry != member.tallies.end())
-      add(sum, entry->second, 1);
+      add_tally(sum, entry->second, 1);
   char text[160];
   std::snprintf(text, sizeof text,
                 "  gate: %lld of %lld served on the side left behind, %lld of %lld on the new one, since the"
@@ -44,9 +44,10 @@
 
 }  // namespace
 
-std::string status(const MigrationRecord& record,
-                   const std::map<std::string, coordination::MemberRecord>& live_members,
-                   const std::string& task, const std::map<std::string, std::string>& pending_requests) {
+std::string format_status(const MigrationRecord& record,
+                          const std::map<std::string, coordination::MemberRecord>& live_members,
+                          const std::string& task,
+                          const std::map<std::string, std::string>& pending_requests) {
   std::string out = record.epoch < 0 ? "no owner has written anything yet\n"
                                      : "epoch " + std::to_string(record.epoch) + " of term " +
                                            std::to_string(record.fencing_token) + ", " +
--- a/src/migration/status.h
+++ b/src/migration/status.h
@@ -12,8 +12,9 @@
 
 // `live_members`: by session. `task`: the name under which they acknowledge. `pending_requests`: those that
 // the leader has not answered yet. Lines, each with its newline.
-std::string status(const MigrationRecord& record,
-                   const std::map<std::string, coordination::MemberRecord>& live_members,
-                   const std::string& task, const std::map<std::string, std::string>& pending_requests);
+std::string format_status(const MigrationRecord& record,
+                          const std::map<std::string, coordination::MemberRecord>& live_members,
+                          const std::string& task,
+                          const std::map<std::string, std::string>& pending_requests);
 
 }  // namespace yokestream::migration
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -91,7 +91,7 @@
     route.allowed_engines = &origin_engines_[rule.loads == Rule::Loads::to ? rule.to : rule.from];
   } else {
     route.moved =
-        XXH3_64bits(request_id.data(), request_id.size()) % Rule::kAllRequests < rule.moved_requests;
+        XXH3_64bits(request_id.data(), request_id.size()) % Rule::kTrafficBuckets < rule.moved_buckets;
     route.allowed_engines = &origin_engines_[route.moved ? rule.to : rule.from];
   }
   return route;
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -36,10 +36,10 @@
 
 // Where the requests of one area go. Origins are positions in RouteTable::origins.
 struct Rule {
-  static constexpr std::uint32_t kAllRequests = 1'000'000;
+  static constexpr std::uint32_t kTrafficBuckets = 1'000'000;
   enum class Loads { from, nowhere, to };  // where requests go that may not run twice
   std::size_t from = 0, to = 0;
-  std::uint32_t moved_requests = 0;  // of kAllRequests that may run twice, so many go to `to`
+  std::uint32_t moved_buckets = 0;  // of kTrafficBuckets that may run twice, so many go to `to`
   Loads loads = Loads::from;
   bool operator==(const Rule&) const = default;
 };
--- a/src/standin/migration_measure.cpp
+++ b/src/standin/migration_measure.cpp
@@ -96,7 +96,8 @@
   for (std::uint64_t a = 0; a < 1024; ++a) {
     movable.push_back(TableGroupId{a});
     if (a < kAreas)
-      table.rules[TableGroupId{a * 16}] = {0, 1, routing::Rule::kAllRequests / 2, routing::Rule::Loads::from};
+      table.rules[TableGroupId{a * 16}] = {0, 1, routing::Rule::kTrafficBuckets / 2,
+                                           routing::Rule::Loads::from};
   }
   routes.set_movable_areas(movable);
   for (int e = 0; e < 80; ++e) {
--- a/tests/node/migration_plan_test.cpp
+++ b/tests/node/migration_plan_test.cpp
@@ -50,7 +50,7 @@
   std::vector<std::string> local_problems;
   config::Member engine;
   engine.zone = "a";
-  migration::check_against(plan, {TableGroupId{1}, TableGroupId{2}}, {engine}, local_problems);
+  migration::check_against_installation(plan, {TableGroupId{1}, TableGroupId{2}}, {engine}, local_problems);
   CHECK(local_problems.size() == 2);
   CHECK(reports(local_problems, "moves[2].area: not among fleet.areas"));
   CHECK(reports(local_problems, "origins.new: no engine matches it"));
@@ -79,9 +79,9 @@
   for (const double share : {0.1, 0.3, 0.62, 1.0}) {
     std::size_t count = 0;
     for (const auto& [session, name] : record.roster) {
-      count += migration::among_first(record, session, "p", share);
-      if (migration::among_first(record, session, "p", share / 2))
-        CHECK(migration::among_first(record, session, "p", share));
+      count += migration::is_in_leading_share(record, session, "p", share);
+      if (migration::is_in_leading_share(record, session, "p", share / 2))
+        CHECK(migration::is_in_leading_share(record, session, "p", share));
     }
     CHECK(count == static_cast<std::size_t>(std::ceil(share * 50 - 1e-9)));
     CHECK(count > before);
--- a/tests/node/migration_test.cpp
+++ b/tests/node/migration_test.cpp
@@ -77,13 +77,13 @@
   seen.erase(std::unique(seen.begin(), seen.end()), seen.end());
   CHECK(seen ==
         std::vector<Loads>{Loads::from, Loads::nowhere, Loads::to, Loads::from});  // then it is at home
-  CHECK_FALSE(table_of(leader.task.record(), "7"));                                // not in the roster
+  CHECK_FALSE(routing_table_for(leader.task.record(), "7"));                       // not in the roster
 }
 
 void report_outcomes(Leader& leader, std::int64_t served_on_new_side) {
   for (auto& [session, member] : leader.fleet.members) {
     auto& tally = member.tallies["south"];
-    migration::add(tally, {100, 100, 0, 0, 100, served_on_new_side, 0, 0}, 1);
+    migration::add_tally(tally, {100, 100, 0, 0, 100, served_on_new_side, 0, 0}, 1);
   }
 }
 
@@ -152,7 +152,7 @@
   leader.inspect();
   REQUIRE(leader.task.record().plans[0].rolling_back);
   for (auto& [session, member] : leader.fleet.members)  // now the old side serves even fewer
-    migration::add(member.tallies["south"], {1000, 10, 0, 0, 1000, 1000, 0, 0}, 1);
+    migration::add_tally(member.tallies["south"], {1000, 10, 0, 0, 1000, 1000, 0, 0}, 1);
   for (int i = 0; i < 5; ++i) leader.inspect();
   REQUIRE(leader.task.record().plans.size() == 1);
   CHECK(leader.task.record().plans[0].halted);
--- a/tests/node/routing_test.cpp
+++ b/tests/node/routing_test.cpp
@@ -67,7 +67,7 @@
 }
 
 TEST_CASE_FIXTURE(Routed, "a share of idempotent requests moves, by request; loads stay where they are") {
-  route(0, Rule::kAllRequests / 4, Rule::Loads::from);
+  route(0, Rule::kTrafficBuckets / 4, Rule::Loads::from);
   int moved = 0;
   for (dispatch::CallId call = 1; call <= 400; ++call) {
     look(call);
@@ -90,7 +90,7 @@
   pass(100ms);
   REQUIRE(out.size() == 1);
   CHECK(place() == "127.0.0.1:7004");
-  route(1, Rule::kAllRequests,
+  route(1, Rule::kTrafficBuckets,
         Rule::Loads::from);  // queued still: it is taken back and goes to the other side
   CHECK(place() == kNew);
   CHECK(core.conforms_to_routes());
@@ -100,10 +100,10 @@
 
 TEST_CASE_FIXTURE(Routed,
                   "loads: closed at once, kept to once the last one has ended, then on the other side") {
-  route(0, Rule::kAllRequests, Rule::Loads::from);
+  route(0, Rule::kTrafficBuckets, Rule::Loads::from);
   load(1);
   const Out first = written();
-  route(1, Rule::kAllRequests, Rule::Loads::nowhere);
+  route(1, Rule::kTrafficBuckets, Rule::Loads::nowhere);
   CHECK_FALSE(core.conforms_to_routes());  // it is out on the old side
   load(2);
   CHECK(told(2) == "refused");
@@ -112,7 +112,7 @@
   answer(first, ResponseType::result);
   CHECK(told(1) == "served");
   CHECK(core.conforms_to_routes());
-  route(2, Rule::kAllRequests, Rule::Loads::to);
+  route(2, Rule::kTrafficBuckets, Rule::Loads::to);
   load(4);
   CHECK(place() == kNew);
 }
