--- a/src/migration/admit_plan.cpp
+++ b/src/migration/admit_plan.cpp
@@ -1,4 +1,6 @@
-// Decides whether a proposed plan can begin now: it is added to the record, or rejected with the reason.
+// Admits a proposed plan to the migration record, or rejects it with the reason. A plan is rejected if it is
+// invalid, if one of its areas belongs to another active plan, or if an area is not at the plan's source
+// origin.
 #include <algorithm>
 
 #include "base/json.h"
--- a/src/migration/check_plan.cpp
+++ b/src/migration/check_plan.cpp
@@ -1,4 +1,4 @@
-// Checks a plan: its parts against each other, and against one installation.
+// Validates a plan: its parts against each other, and against the areas and engines of one installation.
 #include <algorithm>
 
 #include "migration/plan.h"
@@ -9,7 +9,7 @@
 
 namespace {
 
-using AreaPositions = std::map<TableGroupId, std::size_t>;  // by area, its move's position
+using AreaPositions = std::map<TableGroupId, std::size_t>;  // index of the area's move, by area
 
 AreaPositions check_moves(const Plan& plan, Problems& problems) {
   AreaPositions positions;
@@ -18,8 +18,8 @@
     const std::string path = indexed_path("moves", i);
     if (!plan.origins.count(move.from)) problems.push_back(path + ".from: no such origin");
     if (!plan.origins.count(move.to)) problems.push_back(path + ".to: no such origin");
-    if (move.from == move.to) problems.push_back(path + ".to: where it comes from");
-    if (!positions.emplace(move.area, i).second) problems.push_back(path + ".area: it moves twice");
+    if (move.from == move.to) problems.push_back(path + ".to: same as from");
+    if (!positions.emplace(move.area, i).second) problems.push_back(path + ".area: duplicate area");
   }
   return positions;
 }
@@ -30,11 +30,12 @@
     for (std::size_t j = 0; j < after.size(); ++j)
       if (!positions.count(after[j]))
         problems.push_back(indexed_path(indexed_path("moves", i) + ".after", j) +
-                           ": an area that this plan does not move");
+                           ": not an area of this plan");
   }
 }
 
-// Topological order: an area is placed once all its prerequisites are; what remains is on a cycle.
+// Topological sort: an area is placed once all its prerequisites are. Areas that are never placed are on a
+// cycle or depend on one.
 void check_cycles(const Plan& plan, const AreaPositions& positions, Problems& problems) {
   std::map<TableGroupId, bool> placed;
   bool progress = true;
@@ -49,7 +50,7 @@
   }
   for (std::size_t i = 0; i < plan.moves.size(); ++i)
     if (!placed.count(plan.moves[i].area))
-      problems.push_back(indexed_path("moves", i) + ".after: it waits for itself");
+      problems.push_back(indexed_path("moves", i) + ".after: circular prerequisites");
 }
 
 bool grows(const Stage& before, const Stage& stage) {
@@ -64,14 +65,16 @@
     const std::string path = indexed_path("stages", i);
     const bool is_last = i + 1 == plan.stages.size();
     if (is_last && (stage.edge_share < 1 || stage.traffic_share < 1))
-      problems.push_back(path + ": the last stage is not all of the edges and all of the traffic");
-    if (i > 0 && !grows(plan.stages[i - 1], stage)) problems.push_back(path + ": it does not grow");
+      problems.push_back(path + ": the last stage does not cover all edges and all traffic");
+    if (i > 0 && !grows(plan.stages[i - 1], stage))
+      problems.push_back(path + ": not larger than the stage before");
   }
 }
 
 }  // namespace
 
-// Origins exist, each area moves once, stages grow, prerequisites have no cycle.
+// Each origin exists, each area moves once, each stage is larger than the one before, and the prerequisites
+// have no cycle.
 void check_plan(const Plan& plan, Problems& problems) {
   if (plan.moves.empty()) problems.push_back("moves: none");
   if (plan.stages.empty()) problems.push_back("stages: none");
--- a/src/migration/migration_task.cpp
+++ b/src/migration/migration_task.cpp
@@ -8,7 +8,7 @@
   auto record = state.empty() ? std::optional(MigrationRecord{}) : decode_record(state);
   const bool valid = record.has_value();
   if (valid) record_ = std::move(*record);
-  session_ = valid ? session : "";  // a malformed record opens no area
+  session_ = valid ? session : "";  // without a session there is no routing table, so areas stay closed
   routing_table_ = derive_routing_table();
   return valid;
 }
@@ -36,8 +36,8 @@
   return out;
 }
 
-// S3: every session of the roster acts on the record, or ended so long ago that none of its attempts is in
-// flight.
+// S3: every session of the roster has acknowledged the record, or ended so long ago that none of its attempts
+// can still be in flight.
 bool MigrationTask::all_acknowledged(const coordination::FleetSnapshot& fleet) {
   std::erase_if(missing_since_, [&](const auto& missing) { return !record_.roster.count(missing.first); });
   bool acknowledged = true;
@@ -70,7 +70,7 @@
   if (acknowledged) {
     std::erase_if(next.roster,
                   [&](const auto& member_entry) { return !fleet.members.count(member_entry.first); });
-    // a new plan is acknowledged with all areas at their old side before any of them moves
+    // All members acknowledge a new plan at step 0, with its areas at their source, before any area moves.
     finish_plans(next);
     const std::size_t active_count = next.plans.size();
     apply_staff_requests(fleet, next, draft);
@@ -81,11 +81,12 @@
   next.epoch = record_.epoch + 1;
   next.fencing_token = fleet.fencing_token;
   draft.state = encode(next);
-  if (draft.state.size() > store::kMaxValueBytes) return std::nullopt;  // no progress; the status shows that
+  if (draft.state.size() > store::kMaxValueBytes)
+    return std::nullopt;  // too large to store; the status shows that the epoch does not advance
   return draft;
 }
 
-// A plan that is not admitted is answered with the reason.
+// Proposes, halts and resumes plans. A rejected plan gets the reason as its outcome.
 void MigrationTask::apply_staff_requests(const coordination::FleetSnapshot& fleet, MigrationRecord& next,
                                          Draft& draft) const {
   const auto find_progress = [&](const std::string& name) {
@@ -110,7 +111,8 @@
   }
 }
 
-// Ends the plans whose last step all members have acknowledged.
+// Removes the plans whose last step all members have acknowledged, and stores their outcomes and the new
+// homes of their areas.
 void MigrationTask::finish_plans(MigrationRecord& next) const {
   std::erase_if(next.plans, [&](const PlanProgress& progress) {
     const std::size_t last = progress.rolling_back ? 0 : progress.done_step();
@@ -126,9 +128,9 @@
   while (next.outcomes.size() > kMaxOutcomes) next.outcomes.erase(next.outcomes.begin());
 }
 
-// ---- the steps of one plan
+// ---- Steps of one plan
 
-// Counted from when this leader first saw the whole fleet act on the stage.
+// The span starts when this leader first sees that the whole fleet has acknowledged the plan's current steps.
 MigrationTask::StageSpan& MigrationTask::span_of(const coordination::FleetSnapshot& fleet,
                                                  const PlanProgress& progress) {
   StageSpan& span = spans_[progress.plan.name];
@@ -157,7 +159,7 @@
   const std::size_t stage_count = progress.plan.stages.size();
   Duration min_duration{};
   bool in_stage = false;
-  bool has_both_sides = false;  // at the last stage nothing is left to compare with
+  bool has_both_sides = false;  // at the last stage the source serves no requests to compare with
   for (const auto step : progress.steps) {
     if (step == 0 || step > stage_count) continue;
     in_stage = true;
@@ -180,7 +182,7 @@
 
 void MigrationTask::step_forward(PlanProgress& progress) const {
   const std::vector<std::size_t> before = progress.steps;
-  const auto has_moved = [&](TableGroupId area) {  // or is not of this plan
+  const auto has_moved = [&](TableGroupId area) {  // true also for areas outside this plan
     for (std::size_t i = 0; i < before.size(); ++i)
       if (progress.plan.moves[i].area == area) return before[i] == progress.done_step();
     return true;
@@ -198,7 +200,7 @@
 void MigrationTask::step_back(PlanProgress& progress) const {
   const std::vector<std::size_t> before = progress.steps;
   for (std::size_t i = 0; i < before.size(); ++i) {
-    bool ready = true;  // no area that depends on it has begun
+    bool ready = true;  // no area that depends on it has left step 0
     for (std::size_t j = 0; j < before.size(); ++j) {
       const auto& after = progress.plan.moves[j].after;
       const bool depends = std::find(after.begin(), after.end(), progress.plan.moves[i].area) != after.end();
--- a/src/migration/migration_task.h
+++ b/src/migration/migration_task.h
@@ -1,19 +1,21 @@
-// The leader task `migration`: advances plans through their stages, one record after the other.
+// The leader task `migration`: advances plans through their stages by writing one record after the other.
 //
-// The next record is written only when every member of the roster has acknowledged this one, or its session
-// has ended and its last attempt can no longer be in flight (S3). New members are added at any time, as that
-// changes nothing for the others. An area moves to its new origin only when its prerequisites have moved
-// completely, and back only when those that depend on it are back completely (S6). A new leader continues at
-// the step in the store; times and spans are counted anew.
+// The leader writes the next record only when every member of the roster has acknowledged the current one, or
+// the member's session has ended and its last attempt can no longer be in flight (S3). New members are added
+// to the roster at any time, which does not affect the others. An area starts to move only when its
+// prerequisites have moved completely, and rolls back only when all areas that depend on it have rolled back
+// completely (S6). A new leader continues at the stored step, and restarts waiting times and stage spans.
 //
-//   step of a move     requests that may run twice       loads, which may not
+//   step of a move     idempotent requests               loads (not idempotent)
 //   0       waiting    old origin                        old origin
 //   1 .. n  stages     split by the stage's shares       old origin
 //   n + 1   stopped    new origin                        nowhere, until all have acknowledged that
 //   n + 2   done       new origin                        new origin
 //
-// A rollback takes the same steps in reverse. Pure: no thread, socket or clock. Not thread-safe. Memory: one
-// record and, at the leader, one tally a plan and session.
+// A rollback takes the same steps in reverse.
+//
+// Uses no thread, socket or clock. Not thread-safe. Memory: one record and, at the leader, one tally per plan
+// and session.
 #pragma once
 
 #include <map>
@@ -26,20 +28,22 @@
 
 namespace yokestream::migration {
 
-// Adds a proposed plan to the record. Else returns the reason, and the record stays as it is.
+// Adds a proposed plan to the record and returns an empty string. If the plan is rejected, returns the reason
+// and leaves the record unchanged.
 std::string admit_plan(MigrationRecord& record, const std::string& name, const std::string& text);
 
 class MigrationTask : public coordination::LeaderTask {
  public:
   static constexpr const char* kName = "migration";
 
-  // `max_attempt_age`: after which no attempt is in flight. `clock_drift`: ratio by which clocks' rates
-  // differ.
+  // `max_attempt_age`: age after which no attempt can be in flight. `clock_drift`: maximum relative
+  // difference between the rates of two clocks.
   MigrationTask(Duration max_attempt_age, double clock_drift, unsigned disabled_guards = 0)
       : max_attempt_age_(std::chrono::duration_cast<Duration>(max_attempt_age * (1 + 2 * clock_drift))),
         disabled_guards_(disabled_guards) {}
 
-  // For tests alone: guards that are left out, to show that the checker finds the fault each prevents.
+  // For tests only: safety guards that can be disabled, to show that the checker detects the fault that each
+  // guard prevents.
   enum Guard : unsigned {
     kAcknowledged = 1,
     kMaxAttemptAge = 2,
@@ -54,13 +58,13 @@
   bool has_pending_work() const override { return has_pending_work_; }
 
   const MigrationRecord& record() const { return record_; }
-  // What this process may act on; nullopt: nothing, so its areas are closed.
+  // The routing table of this process. nullopt: it has none, so its movable areas are closed.
   const std::optional<routing::RouteTable>& routing_table() const { return routing_table_; }
-  // The outcomes that the core counted by area, summed up by plan: for this process's MemberRecord.
+  // Sums the dispatcher's outcome tallies by plan, for this process's MemberRecord.
   std::map<std::string, std::vector<std::int64_t>> outcome_tallies(const OutcomeTallies& by_area) const;
 
  private:
-  struct StageSpan {  // one combination of steps of one plan
+  struct StageSpan {  // the time during which all steps of one plan stay the same
     std::vector<std::size_t> steps;
     Time started_at{};
     std::map<std::string, std::vector<std::int64_t>> initial_tallies;  // by session, at started_at
@@ -71,7 +75,7 @@
   void apply_staff_requests(const coordination::FleetSnapshot& fleet, MigrationRecord& next,
                             Draft& draft) const;
   void advance(const coordination::FleetSnapshot& fleet, PlanProgress& progress);
-  // Whether the plan may take a step; records a failed gate in `progress`.
+  // Whether the plan may take its next step. If its gate fails, halts the plan or starts its rollback.
   bool stage_completed(const coordination::FleetSnapshot& fleet, const StageSpan& span,
                        PlanProgress& progress) const;
   void step_forward(PlanProgress& progress) const;
@@ -86,9 +90,9 @@
   std::string session_;
   std::optional<routing::RouteTable> routing_table_;  // derived from record_ and session_
   bool has_pending_work_ = false;
-  std::map<std::string, Time> missing_since_;  // members of the roster without a session
+  std::map<std::string, Time> missing_since_;  // by session; roster members without a live session
   std::map<std::string, StageSpan> spans_;     // by plan
-  store::Revision spans_token_ = 0;            // under which missing_since_ and spans_ were counted
+  store::Revision spans_token_ = 0;  // fencing token under which missing_since_ and spans_ were recorded
 };
 
 }  // namespace yokestream::migration
--- a/src/migration/read_plan.cpp
+++ b/src/migration/read_plan.cpp
@@ -1,6 +1,6 @@
-// Plans from JSON and to JSON. Words of the file: `edges` is edge_share, `traffic` traffic_share, `hold_ms`
-// min_duration, `served` max_served_drop, `slower` max_slowdown, `outcomes` min_outcomes, `on_fail: back`
-// OnFail::roll_back, `groups` an origin's cells.
+// Reads plans from JSON and writes them as JSON. Keys that differ from the field names: `edges` is
+// edge_share, `traffic` traffic_share, `hold_ms` min_duration, `served` max_served_drop, `slower`
+// max_slowdown, `outcomes` min_outcomes, `on_fail: back` OnFail::roll_back, and `groups` an origin's cells.
 #include <algorithm>
 #include <chrono>
 
@@ -11,7 +11,7 @@
 
 using Problems = std::vector<std::string>;
 
-// Reads one object key by key, and reports what is left over as unknown.
+// Reads one object key by key, and reports the keys that were not read as unknown.
 class Fields {
  public:
   Fields(const Json::Value& value, std::string path, Problems& problems)
--- a/src/migration/record.cpp
+++ b/src/migration/record.cpp
@@ -1,6 +1,7 @@
 // Encodes and decodes the migration record, and derives routing tables from it.
 //
-// Words of the stored form: `term` is the fencing token, `ended` outcomes, `back` rolling_back, `why` cause.
+// Stored keys that differ from the field names: `term` is fencing_token, `ended` outcomes, `back`
+// rolling_back, and `why` cause.
 #include "migration/record.h"
 
 #include <xxhash.h>
@@ -51,8 +52,8 @@
   return TableGroupId{std::stoull(text)};
 }
 
-// Position of this member, which is in the roster, in the plan's order. By name, so that a restarted manager
-// keeps its position; the order differs from plan to plan.
+// Position of a roster member in the plan's order of members. The order is by a hash of the plan's and the
+// member's names: a restarted manager keeps its position, and each plan has a different order.
 std::size_t rank_of(const MigrationRecord& record, const std::string& session, const std::string& plan) {
   const auto rank = [&](const std::string& name) {
     const std::string text = plan + "/" + name;
@@ -136,7 +137,7 @@
   }
   for (const PlanProgress& progress : record.plans) {
     const std::size_t rank = rank_of(record, session, progress.plan.name);
-    std::vector<std::uint32_t> moved;  // by stage
+    std::vector<std::uint32_t> moved;  // buckets that this member moves, by stage
     for (const Stage& stage : progress.plan.stages)
       moved.push_back(
           rank_in_leading_share(rank, record, stage.edge_share)
--- a/src/migration/status.cpp
+++ b/src/migration/status.cpp
@@ -11,7 +11,7 @@
 
 std::string step_text(const PlanProgress& progress, std::size_t step) {
   const std::size_t n = progress.plan.stages.size();
-  if (step == 0) return "at its old side";
+  if (step == 0) return "at its source";
   if (step <= n) return "stage " + std::to_string(step) + " of " + std::to_string(n);
   return step == progress.done_step() ? "there" : "loads stopped";
 }
@@ -35,8 +35,8 @@
       add_tally(sum, entry->second, 1);
   char text[160];
   std::snprintf(text, sizeof text,
-                "  gate: %lld of %lld served on the side left behind, %lld of %lld on the new one, since the"
-                " sessions began\n",
+                "  gate: %lld of %lld served at the source, %lld of %lld at the target, since the sessions"
+                " started\n",
                 static_cast<long long>(sum[1]), static_cast<long long>(sum[0]),
                 static_cast<long long>(sum[5]), static_cast<long long>(sum[4]));
   return text;
@@ -48,24 +48,24 @@
                           const std::map<std::string, coordination::MemberRecord>& live_members,
                           const std::string& task,
                           const std::map<std::string, std::string>& pending_requests) {
-  std::string out = record.epoch < 0 ? "no owner has written anything yet\n"
+  std::string out = record.epoch < 0 ? "no leader has written a record yet\n"
                                      : "epoch " + std::to_string(record.epoch) + " of term " +
                                            std::to_string(record.fencing_token) + ", " +
                                            std::to_string(record.roster.size()) + " edges\n";
   for (const auto& [session, name] : record.roster) {
     const auto entry = live_members.find(session);
     if (entry == live_members.end()) {
-      out += "waits for edge " + name + ": its session has ended, what it sent may still run\n";
+      out += "waits for edge " + name + ": its session has ended, its requests may still be running\n";
       continue;
     }
     const auto acknowledgement = entry->second.acknowledged_epochs.find(task);
     if (acknowledgement == entry->second.acknowledged_epochs.end() || acknowledgement->second < record.epoch)
-      out += "waits for edge " + name + ": it does not act on this epoch yet\n";
+      out += "waits for edge " + name + ": it has not acknowledged this epoch yet\n";
   }
   for (const PlanProgress& progress : record.plans) {
     out += "plan " + progress.plan.name + ": " +
            (progress.halted         ? "halted"
-            : progress.rolling_back ? "on its way back"
+            : progress.rolling_back ? "rolling back"
                                     : "under way") +
            (progress.cause.empty() ? "" : ": " + progress.cause) + "\n";
     for (std::size_t i = 0; i < progress.steps.size(); ++i)
@@ -75,7 +75,7 @@
   }
   for (const auto& [name, outcome] : record.outcomes) out += "plan " + name + ": " + outcome + "\n";
   for (const auto& [request_name, text] : pending_requests)
-    out += "asked, not answered by an owner yet: " + request_name + "\n";
+    out += "request not answered by a leader yet: " + request_name + "\n";
   return out;
 }
 
--- a/src/migration/status.h
+++ b/src/migration/status.h
@@ -1,5 +1,5 @@
-// Status report of migrations for staff: the progress of each plan, and the members and gates that it waits
-// for. Pure; any thread.
+// Formats the status report of migrations for staff: the progress of each plan, and the members and gates
+// that it waits for. Pure functions; any thread.
 #pragma once
 
 #include <map>
@@ -10,8 +10,8 @@
 
 namespace yokestream::migration {
 
-// `live_members`: by session. `task`: the name under which they acknowledge. `pending_requests`: those that
-// the leader has not answered yet. Lines, each with its newline.
+// `live_members`: by session. `task`: the task name under which members acknowledge epochs.
+// `pending_requests`: staff requests that the leader has not answered yet. Each line ends with a newline.
 std::string format_status(const MigrationRecord& record,
                           const std::map<std::string, coordination::MemberRecord>& live_members,
                           const std::string& task,
--- a/src/routing/outcome_tally.h
+++ b/src/routing/outcome_tally.h
@@ -1,8 +1,8 @@
-// Counts outcomes on both sides of migrating areas, of requests that may be repeated and whose outcome was
-// reported to the policy module.
+// Counts the outcomes of idempotent requests at the source and the target of migrating areas. Only requests
+// whose outcome was reported to the policy module count.
 //
-// Counted from the start of the process, so that a lost report loses nothing. Plain values. Memory: eight
-// numbers an area with a rule.
+// Counters are cumulative since the start of the process, so that a lost report does not lose outcomes. Plain
+// values. Memory: eight numbers per area with a rule.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
   std::int64_t estimated_us = 0;  // on an idle engine, of the served requests
   bool operator==(const OutcomeTally&) const = default;
 };
-// By area: the old side, then the new one.
+// By area: the source, then the target.
 using OutcomeTallies = std::map<policy::TableGroupId, std::pair<OutcomeTally, OutcomeTally>>;
 
 }  // namespace yokestream::routing
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -33,8 +33,9 @@
 }
 
 // Failure: a new engine gets a slot that an earlier engine set still contains.
-// Symptom: requests of an area reach an engine outside its origin.
-// Guard: a slot is reused only after retain_engines() dropped its engine, long after that left.
+// Symptom: requests for an area are sent to an engine outside its origin.
+// Guard: a slot is reused only after retain_engines() has dropped its engine, long after the engine was
+// removed.
 std::uint32_t Router::register_engine(const config::Member& member) {
   const auto [it, is_new] = engines_.try_emplace(member.uid);
   Engine& engine = it->second;
@@ -43,7 +44,7 @@
     while (engine.slot < policy::kMaxEngineSlots && used_slots_[engine.slot]) ++engine.slot;
     if (engine.slot < policy::kMaxEngineSlots) used_slots_.set(engine.slot);
   }
-  // an engine that has left may be reported by its uid alone; it keeps its origins
+  // A removed engine may be reported with its uid alone; it keeps its attributes and so its origins.
   if (is_new || member.state != policy::EngineState::removed) engine.member = member;
   update_origin_sets(engine);
   return engine.slot;
@@ -74,7 +75,8 @@
   for (auto& set : origin_engines_) set.reset(engine.slot);
 }
 
-// By the hash of the request id, so that all attempts of a request use the same side under one rule.
+// Splits idempotent requests by the hash of the request id, so that all attempts of a request use the same
+// side as long as the rule stays the same.
 Route Router::route(Time now, TableGroupId area, bool idempotent, std::string_view request_id) const {
   if (!std::binary_search(movable_areas_.begin(), movable_areas_.end(), area)) return {};
   const auto it =
@@ -84,7 +86,7 @@
   Route route;
   route.needs_lease = true;
   route.closed = now >= lease_expiry_ || epoch_ < 0;
-  if (!ruled) return route;  // no migration concerns the area: any engine
+  if (!ruled) return route;  // the area has no rule: any engine
   const Rule& rule = it->second;
   if (!idempotent) {
     route.closed |= rule.loads == Rule::Loads::nowhere;
--- a/tests/node/migration_fixture.h
+++ b/tests/node/migration_fixture.h
@@ -1,4 +1,5 @@
-// Shared by the tests of migrations: a plan, its JSON, the leader alone, and settings of a simulated fleet.
+// Shared by the migration tests: a plan, its JSON, a leader task on its own, and settings of a simulated
+// fleet.
 #pragma once
 
 #include "base/json.h"
@@ -21,7 +22,7 @@
   plan.origins["new"].zones = {"b"};
   for (std::size_t a = 1; a <= areas; ++a) {
     migration::Move move{TableGroupId{a}, "old", "new", {}};
-    if (a > 1) move.after = {TableGroupId{a - 1}};  // a chain
+    if (a > 1) move.after = {TableGroupId{a - 1}};  // each area requires the one before
     plan.moves.push_back(move);
   }
   plan.stages = {{0.3, 0.5, hold}, {1, 1, hold}};
@@ -29,22 +30,22 @@
 }
 inline std::string plan_json(const Plan& plan) { return base::write_json(migration::to_json(plan)); }
 
-// The leader's task alone, with a fleet as the test says.
+// The leader's migration task on its own, with a fleet that the test controls.
 struct Leader {
   explicit Leader(Plan p, unsigned disabled_guards = 0)
       : plan(std::move(p)), task(3s, 0.01, disabled_guards) {
     fleet.fencing_token = 5;
-
     join("1");
     join("2");
   }
   void join(const std::string& session) { fleet.members[session] = {"n" + session, "1", 0, {}, {}}; }
-  // One inspection; true: it wrote. All live sessions but `silent_session` acknowledge it at once.
-  bool inspect(Duration later = 1s) {
-    fleet.now += later;
+  // Runs the task once; true: it wrote a record, which all live sessions but `silent_session` acknowledge at
+  // once.
+  bool inspect(Duration elapsed = 1s) {
+    fleet.now += elapsed;
     const auto draft = task.next_draft(fleet);
     if (!draft) return false;
-    for (const auto& asked : draft->answered_requests) fleet.staff_requests.erase(asked);
+    for (const auto& request : draft->answered_requests) fleet.staff_requests.erase(request);
     CHECK(task.observe(draft->state, "1"));
     for (auto& [session, member] : fleet.members)
       if (session != silent_session) member.acknowledged_epochs[MigrationTask::kName] = task.record().epoch;
--- a/tests/node/migration_plan_test.cpp
+++ b/tests/node/migration_plan_test.cpp
@@ -1,4 +1,5 @@
-// Plans and the migration record as JSON: round trips, reported problems, and the members that a stage moves.
+// Plans and the migration record as JSON: round trips, reported problems, and the members that a stage
+// selects.
 #include "migration_fixture.h"
 
 namespace yokestream::test {
@@ -14,7 +15,7 @@
                      [&](const auto& p) { return p.find(what) != std::string::npos; });
 }
 
-TEST_CASE("a plan survives its JSON, and all its problems are reported at once, each with its path") {
+TEST_CASE("a plan round-trips through JSON, and all problems are reported at once, each with its path") {
   Plan plan = make_plan(3);
   plan.gate = migration::Gate{0.1, 2, 40};
   plan.on_fail = OnFail::roll_back;
@@ -28,14 +29,14 @@
     return problems_in(value);
   };
   CHECK(reports(problems_after([](auto& v) { v["moves"][0]["after"].append(3); }),
-                "moves[0].after: it waits for itself"));
+                "moves[0].after: circular prerequisites"));
   CHECK(reports(problems_after([](auto& v) { v["moves"][1]["to"] = "nowhere"; }),
                 "moves[1].to: no such origin"));
   CHECK(reports(problems_after([](auto& v) { v["moves"][1]["after"][0] = 99; }),
-                "moves[1].after[0]: an area that"));
-  CHECK(reports(problems_after([](auto& v) { v["moves"][2]["area"] = 1; }), "moves[2].area: it moves twice"));
-  CHECK(
-      reports(problems_after([](auto& v) { v["stages"][1]["edges"] = 0.2; }), "stages[1]: it does not grow"));
+                "moves[1].after[0]: not an area of this plan"));
+  CHECK(reports(problems_after([](auto& v) { v["moves"][2]["area"] = 1; }), "moves[2].area: duplicate area"));
+  CHECK(reports(problems_after([](auto& v) { v["stages"][1]["edges"] = 0.2; }),
+                "stages[1]: not larger than the stage before"));
   CHECK(
       reports(problems_after([](auto& v) { v["stages"][1]["traffic"] = 0.9; }), "stages[1]: the last stage"));
   CHECK(reports(problems_after([](auto& v) { v["extra"] = 1; }), "extra: unknown key"));
@@ -56,7 +57,7 @@
   CHECK(reports(local_problems, "origins.new: no engine matches it"));
 }
 
-TEST_CASE("a record survives its JSON; noise, other forms and steps beyond the last are malformed") {
+TEST_CASE("a record round-trips through JSON; garbage, other formats and out-of-range steps are malformed") {
   Leader leader(make_plan(2, 0s));
   leader.propose();
   for (int i = 0; i < 4; ++i) leader.inspect();
@@ -71,7 +72,7 @@
   CHECK_FALSE(task.observe("noise", "1"));
 }
 
-TEST_CASE("a growing stage keeps the members that it moved before") {
+TEST_CASE("a larger stage includes the members of the stage before") {
   MigrationRecord record;
   record.epoch = 0;
   for (int i = 0; i < 50; ++i) record.roster["s" + std::to_string(i)] = "n" + std::to_string(i);
--- a/tests/node/migration_random_test.cpp
+++ b/tests/node/migration_random_test.cpp
@@ -1,21 +1,22 @@
-// Migrations under random faults on the virtual clock, and each rule of the checker shown to find its
-// violation.
+// Migrations under random faults on the virtual clock, and proof that the checker detects each disabled
+// guard.
 #include "migration_fixture.h"
 
 namespace yokestream::test {
 namespace {
 
-// Random faults while a chain of areas moves; then none, and the plan finishes.
-void run_with_faults(DutyWorld& world, const DutySettings& settings, const Plan& plan, Duration troubled) {
+// Injects random faults while a chain of areas moves, then stops them.
+void run_with_faults(DutyWorld& world, const DutySettings& settings, const Plan& plan,
+                     Duration fault_duration) {
   world.propose(plan);
-  world.troubles(std::mt19937(static_cast<std::uint32_t>(settings.seed)), 20s, troubled, 5s,
+  world.troubles(std::mt19937(static_cast<std::uint32_t>(settings.seed)), 20s, fault_duration, 5s,
                  [](std::size_t) { return 1.0; });
-  world.all_well(troubled);
+  world.all_well(fault_duration);
 }
 
 // Failure: processes are killed, paused, partitioned and slowed at random while a chain of areas moves.
 // Expected: no rule of the checker is violated, and the plan finishes once the faults are over.
-TEST_CASE("under random faults loads run on one side, areas keep their order, and the plan finishes") {
+TEST_CASE("under random faults loads run on one side only, areas move in order, and the plan finishes") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     auto settings = migration_settings(3 + seed % 5, 3, seed);
     if (seed % 2 == 0) settings.edges.longest = 12s;  // longer than a lease
@@ -29,9 +30,9 @@
   }
 }
 
-// Failure: the new side fails half of its requests, beside the random faults.
-// Expected: the gate rolls the plan back, and the areas are at home at the old origin.
-TEST_CASE("a new side that fails half of its requests is rolled back, under random faults too") {
+// Failure: the target fails half of its requests, in addition to the random faults.
+// Expected: the gate rolls the plan back, and the old origin serves the areas again.
+TEST_CASE("a plan whose target fails half of its requests is rolled back, also under random faults") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     auto settings = migration_settings(4, 2, seed);
     settings.edges.bad = 0.5;
@@ -61,8 +62,8 @@
   return "";
 }
 
-// A process joins, loads the record, and is partitioned before it has published its own: the leader never
-// sees it, and it holds its session for a while.
+// A process joins, reads the record, and is partitioned before it has published its member record: the leader
+// never sees it, but its session lives on for a while.
 std::string violation_with_newcomers(unsigned guard) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     auto settings = migration_settings(4, 8, seed);
@@ -86,9 +87,9 @@
   return "";
 }
 
-// Failure: one guard of the migration is missing.
-// Expected: the checker reports S6, and nothing with all guards in place.
-TEST_CASE("the checker names the rule whose guard is disabled") {
+// Failure: one safety guard of the migration is disabled.
+// Expected: the checker reports a violation of S6, and none with all guards enabled.
+TEST_CASE("the checker reports the violated rule when a guard is disabled") {
   CHECK(violation_without(0) == "");
   for (const auto guard : {MigrationTask::kAcknowledged, MigrationTask::kMaxAttemptAge,
                            MigrationTask::kPrerequisites, MigrationTask::kStopLoads}) {
--- a/tests/node/migration_test.cpp
+++ b/tests/node/migration_test.cpp
@@ -1,4 +1,4 @@
-// The steps of a migration at the leader: order, acknowledgements, gates, rollbacks.
+// Steps of a migration at the leader: order, acknowledgements, gates and rollbacks.
 #include "migration_fixture.h"
 
 namespace yokestream::test {
@@ -14,13 +14,13 @@
   for (const auto& steps : seen)
     for (std::size_t i = 1; i < steps.size(); ++i) CHECK((steps[i] == 0 || steps[i - 1] == 4));
   CHECK(leader.task.record().homes.at(TableGroupId{3}).name == "new");
-  leader.propose();  // from an origin where the areas are no longer at home
+  leader.propose();  // from an origin that no longer serves the areas
   leader.inspect();
   CHECK(leader.outcome() == "turned down: area 1 is at home at new");
 }
 
 // Failure: a member stops acknowledging, then its session ends while its attempts may be in flight.
-// Expected: no step until the longest attempt has ended, as it might run on both sides.
+// Expected: no step until its longest attempt must have ended, as the work might run on both sides.
 TEST_CASE("a plan waits for a silent member until its session and its last attempts have ended") {
   Leader leader(make_plan(1, 0s));
   leader.propose();
@@ -30,18 +30,18 @@
   const auto steps_before = leader.steps();
   for (int i = 0; i < 100; ++i) CHECK_FALSE(leader.inspect());
   CHECK(leader.steps() == steps_before);
-  leader.join("3");  // a new member is added meanwhile, and changes nothing else
+  leader.join("3");  // a new member is added meanwhile, without any other change
   CHECK(leader.inspect());
   CHECK(leader.steps() == steps_before);
   leader.fleet.members.erase("2");
-  for (int i = 0; i < 4; ++i) CHECK_FALSE(leader.inspect());  // 3 s and the clock drift
+  for (int i = 0; i < 4; ++i) CHECK_FALSE(leader.inspect());  // max_attempt_age of 3 s, plus the clock drift
   CHECK(leader.inspect());
   CHECK(leader.steps() != steps_before);
   CHECK(leader.task.record().roster.count("2") == 0);
 }
 
 // Failure: the leader changes, and a member of the roster has died meanwhile.
-// Expected: the new leader counts the waiting time anew, then takes the next step and no other.
+// Expected: the new leader restarts the waiting time, then takes exactly the next step.
 TEST_CASE("a new leader waits for members it never saw, and continues at the stored step") {
   Leader first(make_plan(1, 0s));
   first.propose();
@@ -75,26 +75,27 @@
     seen.push_back(leader.task.routing_table()->rules.at(TableGroupId{1}).loads);
   }
   seen.erase(std::unique(seen.begin(), seen.end()), seen.end());
-  CHECK(seen ==
-        std::vector<Loads>{Loads::from, Loads::nowhere, Loads::to, Loads::from});  // then it is at home
-  CHECK_FALSE(routing_table_for(leader.task.record(), "7"));                       // not in the roster
+  CHECK(seen == std::vector<Loads>{Loads::from, Loads::nowhere, Loads::to,
+                                   Loads::from});             // the last entry is the rule of the new home
+  CHECK_FALSE(routing_table_for(leader.task.record(), "7"));  // not in the roster
 }
 
-void report_outcomes(Leader& leader, std::int64_t served_on_new_side) {
+void report_outcomes(Leader& leader, std::int64_t served_at_target) {
   for (auto& [session, member] : leader.fleet.members) {
     auto& tally = member.tallies["south"];
-    migration::add_tally(tally, {100, 100, 0, 0, 100, served_on_new_side, 0, 0}, 1);
+    migration::add_tally(tally, {100, 100, 0, 0, 100, served_at_target, 0, 0}, 1);
   }
 }
 
-void report_and_inspect(Leader& leader, std::int64_t served_on_new_side) {
-  report_outcomes(leader, served_on_new_side);
+void report_and_inspect(Leader& leader, std::int64_t served_at_target) {
+  report_outcomes(leader, served_at_target);
   leader.inspect();
 }
 
-// Failure: the new side serves fewer requests than the old one.
-// Expected: the plan is held or rolled back, as it says; without outcomes it neither advances nor fails.
-TEST_CASE("a failed gate holds the plan or rolls it back in reverse order; too few outcomes wait") {
+// Failure: the target serves a smaller share of its requests than the source.
+// Expected: the plan halts or rolls back, as on_fail says. Without outcomes it neither advances nor fails.
+TEST_CASE(
+    "a failed gate halts the plan or rolls it back in reverse order; with too few outcomes the plan waits") {
   for (const auto on_fail : {OnFail::hold, OnFail::roll_back}) {
     Plan plan = make_plan(2, 0s);
     plan.gate = migration::Gate{};
@@ -103,12 +104,12 @@
     leader.propose();
     leader.inspect();
     leader.inspect();
-    for (int i = 0; i < 20; ++i) CHECK_FALSE(leader.inspect());  // nothing has been answered
+    for (int i = 0; i < 20; ++i) CHECK_FALSE(leader.inspect());  // no outcomes yet
     CHECK(leader.steps() == std::vector<std::size_t>{1, 0});
     for (int i = 0; i < 30 && leader.steps() != std::vector<std::size_t>{4, 1}; ++i)
       report_and_inspect(leader, 100);
     REQUIRE(leader.steps() == std::vector<std::size_t>{4, 1});
-    leader.inspect();  // the stage's span begins
+    leader.inspect();  // starts the stage's span
     report_outcomes(leader, 60);
     leader.inspect();
     CHECK(leader.task.record().plans[0].cause == "served 0.600, on the side left behind 1.000");
@@ -124,20 +125,20 @@
       for (int i = 0; i < 30 && leader.outcome().empty(); ++i) report_and_inspect(leader, 100);
       CHECK(leader.outcome() == "done");
     } else {
-      bool second_first = true;
+      bool reverse_order = true;
       for (int i = 0; i < 60 && leader.outcome().empty(); ++i) {
         report_and_inspect(leader, 60);
-        if (!leader.steps().empty()) second_first &= leader.steps()[0] == 4 || leader.steps()[1] == 0;
+        if (!leader.steps().empty()) reverse_order &= leader.steps()[0] == 4 || leader.steps()[1] == 0;
       }
-      CHECK(second_first);
+      CHECK(reverse_order);
       CHECK(leader.outcome().rfind("went back: served", 0) == 0);
       CHECK(leader.task.record().homes.at(TableGroupId{1}).name == "old");
     }
   }
 }
 
-// Failure: while a plan rolls back, the old side turns out to be the worse one.
-// Expected: the plan halts instead of going back and forth, until staff resume it.
+// Failure: while a plan rolls back, the source serves even fewer requests than the target.
+// Expected: the plan halts instead of alternating between directions, until staff resume it.
 TEST_CASE("a rollback whose own gate fails halts, and continues when staff resume it") {
   Plan plan = make_plan(1, 0s);
   plan.gate = migration::Gate{};
@@ -147,11 +148,11 @@
   leader.propose();
   for (int i = 0; i < 30 && leader.steps() != std::vector<std::size_t>{2}; ++i)
     report_and_inspect(leader, 100);
-  leader.inspect();  // the stage's span begins
+  leader.inspect();  // starts the stage's span
   report_outcomes(leader, 10);
   leader.inspect();
   REQUIRE(leader.task.record().plans[0].rolling_back);
-  for (auto& [session, member] : leader.fleet.members)  // now the old side serves even fewer
+  for (auto& [session, member] : leader.fleet.members)  // now the source serves even fewer
     migration::add_tally(member.tallies["south"], {1000, 10, 0, 0, 1000, 1000, 0, 0}, 1);
   for (int i = 0; i < 5; ++i) leader.inspect();
   REQUIRE(leader.task.record().plans.size() == 1);
--- a/tests/processes/duty_memory.cpp
+++ b/tests/processes/duty_memory.cpp
@@ -1,5 +1,5 @@
-// What the fleet's part costs a manager in memory: the program with the part off and on, round a stand-in
-// store. Printed by `measure/duty`.
+// Measures the resident memory that fleet coordination adds to a manager: runs the program with coordination
+// off and on, against a stand-in store. `measure/duty` prints the result.
 #define DOCTEST_CONFIG_IMPLEMENT
 #include <doctest/doctest.h>
 
@@ -13,13 +13,14 @@
 namespace yokestream::test {
 namespace {
 
-// Kilobytes resident, once it has said that it serves and, with the part on, owns the duty.
-long resident(const config::Endpoint& engine, const std::string& operators, bool on = false) {
-  Folder folder;
-  Program program(folder, config_text("127.0.0.1:0", to_string(engine)), -1, {}, operators);
-  program.until("serves on");
-  if (on) program.until("fleet leadership acquired: task=shares fencing_token=");
-  std::ifstream status("/proc/" + std::to_string(program.id()) + "/status");
+// Resident memory in KB, once the program serves clients and, with coordination on, leads the load share
+// task.
+long resident_kb(const config::Endpoint& engine, const std::string& operators, bool on = false) {
+  TemporaryDirectory directory;
+  Program program(directory, config_text("127.0.0.1:0", to_string(engine)), -1, {}, operators);
+  program.wait_for_line("serves on");
+  if (on) program.wait_for_line("fleet leadership acquired: task=shares fencing_token=");
+  std::ifstream status("/proc/" + std::to_string(program.pid()) + "/status");
   for (std::string word; status >> word;) {
     long kb = 0;
     if (word == "VmRSS:" && status >> kb) return kb;
@@ -36,9 +37,9 @@
   context.setAsDefaultForAssertsOutOfTestCases();
   Fickle engine(0, true);
   yokestream::standin::StoreServer store;
-  const long off = resident(engine.at(), ""), none = resident(engine.at(), "{}");
+  const long off = resident_kb(engine.at(), ""), none = resident_kb(engine.at(), "{}");
   const std::string text = R"({fleet: {on: true, store: [")" + to_string(store.endpoint()) + R"("]}})";
-  const long on = resident(engine.at(), text, true);
+  const long on = resident_kb(engine.at(), text, true);
   std::printf(
       "resident: %ld KB without an operator file, %ld KB with an empty one, %ld KB with the part on\n", off,
       none, on);
--- a/tests/processes/fleet_store_test.cpp
+++ b/tests/processes/fleet_store_test.cpp
@@ -1,109 +1,119 @@
-// A store that loses replies, is away, set back, compacted or holds what is not ours, on real processes.
+// Real processes against a store that loses replies, is unreachable, is restored to an older state, is
+// compacted, or holds foreign data.
 #include "three_managers.h"
 
 namespace yokestream::test {
 namespace {
 
-// Whose transaction it is shows in what it puts or deletes.
-bool enters(const store::Txn& txn) {
+// These recognize a transaction by the keys that it puts or deletes.
+bool registers_candidate(const store::Txn& txn) {
   return std::any_of(txn.on_success.begin(), txn.on_success.end(), [](const auto& op) {
     const auto* put = std::get_if<store::Put>(&op);
-    return put && put->key.starts_with(kLine);
+    return put && put->key.starts_with(kCandidatesPrefix);
   });
 }
-bool publishes(const store::Txn& txn) {
+bool publishes_table(const store::Txn& txn) {
   return std::any_of(txn.on_success.begin(), txn.on_success.end(), [](const auto& op) {
     const auto* put = std::get_if<store::Put>(&op);
-    return put && put->key == kNames.task_state(coordination::FleetMember::kLoadShareTask);
+    return put && put->key == kStoreKeys.task_state(coordination::FleetMember::kLoadShareTask);
   });
 }
-bool releases(const store::Txn& txn) {
+bool withdraws_candidate(const store::Txn& txn) {
   const auto* del = txn.on_success.empty() ? nullptr : std::get_if<store::Delete>(&txn.on_success[0]);
-  return del && del->key.starts_with(kLine);
+  return del && del->key.starts_with(kCandidatesPrefix);
 }
 
-TEST_CASE_FIXTURE(ThreeManagers, "a reply lost after the commit of an election, of a table, of a release") {
-  server.lose_reply(enters);
-  program(1).tell(SIGKILL);
-  program(1).ended();
+TEST_CASE_FIXTURE(ThreeManagers,
+                  "the fleet recovers from a lost reply to a candidacy, a table update and a resignation") {
+  server.lose_reply(registers_candidate);
+  program(1).send_signal(SIGKILL);
+  program(1).wait_for_exit();
   managers[1]->start();
   while (!server.lost_reply()) std::this_thread::yield();
-  wait_for_all(3);  // in line once, and with a part
-  server.lose_reply(publishes);
-  program(2).tell(SIGKILL);  // so that the table changes
-  program(2).ended();
+  wait_for_fleet(3);  // a candidate once, and with a load share
+  server.lose_reply(publishes_table);
+  program(2).send_signal(SIGKILL);  // so that the table changes
+  program(2).wait_for_exit();
   managers[2]->start();
   while (!server.lost_reply()) std::this_thread::yield();
-  wait_for_all(3);
-  server.lose_reply(releases);
-  const auto old = term();
-  program(owner()).tell(SIGTERM);
+  wait_for_fleet(3);
+  server.lose_reply(withdraws_candidate);
+  const auto old = leader_revision();
+  program(leader_index()).send_signal(SIGTERM);
   while (!server.lost_reply()) std::this_thread::yield();
-  wait_for_next(old);
-  wait_for_all(2);
+  wait_for_new_leader(old);
+  wait_for_fleet(2);
 }
 
-TEST_CASE_FIXTURE(ThreeManagers,
-                  "the store away past all leases: clients are served on, then there is one owner again") {
-  Crowd crowd(program(0).serves_on(), 3);
-  crowd.wait_for(20);
-  const auto old = term();
+TEST_CASE_FIXTURE(
+    ThreeManagers,
+    "clients are served while the store is unreachable and leases expire; then one leader is elected") {
+  ClientPool clients(program(0).client_endpoint(), 3);
+  clients.wait_for_responses(20);
+  const auto old = leader_revision();
   for (auto& manager : managers) manager->link.refuse(true), manager->link.close_all();
-  server.wait([](auto& model) { return all(model, kNames.member()).empty(); });
-  crowd.wait_for(50);
+  server.wait([](auto& model) { return list_keys(model, kStoreKeys.member()).empty(); });
+  clients.wait_for_responses(50);
   for (auto& manager : managers) manager->link.refuse(false);
-  wait_for_next(old);
-  wait_for_all(3);
-  crowd.finish();
-  CHECK(crowd.lost == 0);
-  CHECK(crowd.turned_back == 0);
+  wait_for_new_leader(old);
+  wait_for_fleet(3);
+  clients.stop();
+  CHECK(clients.lost == 0);
+  CHECK(clients.failed_sends == 0);
 }
 
-TEST_CASE_FIXTURE(ThreeManagers, "watches cut and compacted under the processes") {
+TEST_CASE_FIXTURE(ThreeManagers, "the fleet recovers from cut watches and compacted revisions") {
   for (int i = 0; i < 5; ++i) {
-    const auto before = server.with([](auto& model) { return beaten(model); });
+    const auto before = server.with([](auto& model) { return progress_revision(model); });
     server.with([](auto& model) { model.compact(); });
     for (auto& manager : managers) manager->link.close_all();
-    server.wait([&](auto& model) { return beaten(model) > before; });
+    server.wait([&](auto& model) { return progress_revision(model) > before; });
   }
-  wait_for_all(3);
+  wait_for_fleet(3);
 }
 
-TEST_CASE_FIXTURE(ThreeManagers,
-                  "a store set back to an older state: all say so, and nothing more is written") {
-  const auto then = server.with([](auto& model) { return model.snapshot(); });
-  // newer than that, and heard of by all that watch
+TEST_CASE_FIXTURE(
+    ThreeManagers,
+    "after the store is restored to an older state all processes log it and write nothing more") {
+  const auto older_state = server.with([](auto& model) { return model.snapshot(); });
+  // Newer revisions than the snapshot's, seen by all watchers.
   server.with([](auto& model) {
     for (int i = 0; i < 20; ++i)
-      model.handle(net::now(), store::Txn{{}, {store::Put{kNames.task_states() + "another", "", {}}}, {}});
+      model.handle(net::now(),
+                   store::Txn{{}, {store::Put{kStoreKeys.task_states() + "another", "", {}}}, {}});
   });
   for (int i = 0; i < 5; ++i) {
-    const auto before = server.with([](auto& model) { return beaten(model); });
-    server.wait([&](auto& model) { return beaten(model) > before; });
+    const auto before = server.with([](auto& model) { return progress_revision(model); });
+    server.wait([&](auto& model) { return progress_revision(model) > before; });
   }
-  server.with([&](auto& model) { model = then; });
-  for (std::size_t i = 0; i < 3; ++i) CHECK(program(i).until("the store was set back to an older state"));
-  server.wait([](auto& model) { return all(model, kNames.member()).empty(); });  // their leases have ended
-  CHECK(server.with([&](auto& model) { return table(model) == table(const_cast<StoreModel&>(then)); }));
+  server.with([&](auto& model) { model = older_state; });
+  for (std::size_t i = 0; i < 3; ++i)
+    CHECK(program(i).wait_for_line("the store was set back to an older state"));
+  server.wait([](auto& model) {
+    return list_keys(model, kStoreKeys.member()).empty();
+  });  // their leases have expired
+  CHECK(server.with([&](auto& model) {
+    return load_share_table(model) == load_share_table(const_cast<StoreModel&>(older_state));
+  }));
 }
 
-TEST_CASE("a foreign form and an unreadable record are told and left alone; clients are served") {
+TEST_CASE("a foreign format and an unreadable record are logged and kept; clients are served") {
   Fickle engine(0, true);
   standin::StoreServer server;
   for (const auto& [key, words] :
-       {std::pair{kNames.format(), "the store holds another form under /yokestream/"},
-        std::pair{kNames.task_state(coordination::FleetMember::kLoadShareTask),
+       {std::pair{kStoreKeys.format(), "the store holds another form under /yokestream/"},
+        std::pair{kStoreKeys.task_state(coordination::FleetMember::kLoadShareTask),
                   "the store's record /yokestream/state/shares can't be read"}}) {
     server.with([&, &at = key](auto& model) {
       model = StoreModel();
       model.handle(net::now(), store::Txn{{}, {store::Put{at, "another program's", {}}}, {}});
     });
     Manager manager(server.endpoint(), engine.at(), "n0");
-    Crowd crowd(manager.program->serves_on(), 2);
-    CHECK(manager.program->until(words));
-    crowd.wait_for(20);
-    crowd.finish();
-    CHECK(crowd.lost == 0);
+    ClientPool clients(manager.program->client_endpoint(), 2);
+    CHECK(manager.program->wait_for_line(words));
+    clients.wait_for_responses(20);
+    clients.stop();
+    CHECK(clients.lost == 0);
     const std::string value = server.with([&, &at = key](auto& model) {
       return model.range({at, {}, 0})[0].value;
     });
@@ -111,17 +121,17 @@
   }
 }
 
-TEST_CASE("a bad setting of the fleet gets one message that names it, and exit 1") {
-  Folder folder;
+TEST_CASE("an invalid fleet setting is named in one message, with exit status 1") {
+  TemporaryDirectory directory;
   for (const auto& [text, key] : {std::pair{R"({fleet: {on: true}})", "fleet.store"},
                                   std::pair{R"({fleet: {store: ["x"]}})", "fleet.store[0]"},
                                   std::pair{R"({fleet: {lease_ms: 1}})", "fleet.lease_ms"},
                                   std::pair{R"({fleet: {leese: 1}})", "fleet.leese"},
                                   std::pair{R"({fleet: {prefix: "a/"}})", "fleet.prefix"},
                                   std::pair{R"({fleet: {ask_ms: 5000}})", "fleet.ask_ms"}}) {
-    Program program(folder, config_text(), -1, {}, text);
-    CHECK(program.until(key));
-    CHECK(program.ended() == 1);
+    Program program(directory, config_text(), -1, {}, text);
+    CHECK(program.wait_for_line(key));
+    CHECK(program.wait_for_exit() == 1);
   }
 }
 
--- a/tests/processes/program.h
+++ b/tests/processes/program.h
@@ -1,5 +1,5 @@
-// `yokestream serve` in a process of its own, as the platform starts it: a configuration, an environment, and
-// the clients' listener as descriptor 4. What it says is read line by line; its end is waited for or forced.
+// Runs `yokestream serve` in a child process as the platform starts it: with a configuration, an environment,
+// and the clients' listening socket as descriptor 4. Its log is read line by line.
 #pragma once
 
 #include <sys/types.h>
@@ -14,11 +14,11 @@
 
 namespace yokestream::test {
 
-// A folder of the test's own, gone with it and all it holds.
-class Folder {
+// A temporary directory that is removed with its contents.
+class TemporaryDirectory {
  public:
-  Folder();
-  ~Folder();
+  TemporaryDirectory();
+  ~TemporaryDirectory();
   const std::string& path() const { return path_; }
 
  private:
@@ -27,49 +27,52 @@
 
 class Program {
  public:
-  // `config`: the platform file's text. `listener` below 0: none is handed down. `operators`: the text of the
-  // operator file; empty: there is none.
-  Program(const Folder& folder, const std::string& config, int listener,
+  // `config`: the text of the platform's file. `listener`: the socket to inherit, -1 for none. `operators`:
+  // the text of the operator file; empty: no operator file.
+  Program(const TemporaryDirectory& directory, const std::string& config, int listener,
           std::map<std::string, std::string> environment = {}, const std::string& operators = "");
-  ~Program();  // SIGKILL, if it has not ended
+  ~Program();  // kills the process if it has not exited
   Program(const Program&) = delete;
 
-  bool until(const std::string& what);  // reads what it says up to a line with this; false: it ended first
-  config::Endpoint operators();  // once it serves: its door. Throws if it ends first, as serves_on() does
-  void tell(int signal) const;
-  pid_t id() const { return child_; }
-  const std::string& operator_file() const {
-    return operator_file_;
-  }                              // its path; another text counts at SIGHUP
-  bool has_ended();              // without waiting
-  int ended();                   // waits for its end: the exit status, or minus the signal
-  config::Endpoint serves_on();  // once it serves: its clients' address
-  const std::string& said() const { return said_; }
+  // Reads the log up to a line that contains `text`. False: the process exited first.
+  bool wait_for_line(const std::string& text);
+  // These wait until the process serves, and throw if it exits first.
+  config::Endpoint admin_endpoint();
+  config::Endpoint client_endpoint();
+  void send_signal(int signal) const;
+  pid_t pid() const { return child_; }
+  // The path of the operator file, which the process reloads at SIGHUP.
+  const std::string& operator_file() const { return operator_file_; }
+  bool has_exited();    // does not wait
+  int wait_for_exit();  // returns the exit status, or the negated signal number
+  const std::string& output() const { return output_; }
 
  private:
   pid_t child_ = -1;
-  std::FILE* notes_ = nullptr;
+  std::FILE* output_pipe_ = nullptr;
   bool reap(int options);
-  config::Endpoint told(const char* words, config::Endpoint& known);
+  // Parses the address that the log has after `prefix`, once.
+  config::Endpoint logged_endpoint(const char* prefix, config::Endpoint& endpoint);
 
-  std::string operator_file_, said_;
-  config::Endpoint door_, clients_;
-  bool over_ = false;
+  std::string operator_file_, output_;
+  config::Endpoint admin_, client_;
+  bool exited_ = false;
   int status_ = 0;
 };
 
-struct Said {
+struct CommandResult {
   int status = 0;
-  std::string words;  // all that it wrote
+  std::string output;  // standard output and error
 };
-// A command of the program, to its end.
-Said command(const std::vector<std::string>& words);
+// Runs a command of the program until it exits.
+CommandResult run_command(const std::vector<std::string>& words);
 
-// One call at an operators' door: the whole answer. Empty: none came.
-std::string ask(const config::Endpoint& door, const std::string& line);
-// Asks until the answer begins so.
-void ask_until(const config::Endpoint& door, const std::string& line, const std::string& begins);
-// One figure of `telemetry`; -1: it is not there.
-long figure(const config::Endpoint& door, const std::string& name);
+// Sends one call to an admin endpoint, and returns the whole response. Empty: there was none.
+std::string call_admin(const config::Endpoint& admin, const std::string& line);
+// Repeats the call until the response starts with `prefix`.
+void wait_for_admin_response(const config::Endpoint& admin, const std::string& line,
+                             const std::string& prefix);
+// The value of one metric in `telemetry`. -1: there is no such metric.
+long metric(const config::Endpoint& admin, const std::string& name);
 
 }  // namespace yokestream::test
--- a/tests/processes/restart_test.cpp
+++ b/tests/processes/restart_test.cpp
@@ -1,69 +1,70 @@
-// A planned restart of the real program while a request is half sent, signals are repeated or reloads come
-// in.
+// A planned restart of the real program while a request is incomplete, signals are repeated or reloads
+// arrive.
 #include <doctest/doctest.h>
 #include <signal.h>
 
-#include "crowd.h"
+#include "client_pool.h"
 #include "program.h"
 
 namespace yokestream::test {
 namespace {
 
 struct Restarting {
-  Folder folder;
+  TemporaryDirectory directory;
   Fickle engine{0, true};
-  Program program{folder, config_text("127.0.0.1:0", to_string(engine.at())), -1};
-  Peer client{program.serves_on()};
+  Program program{directory, config_text("127.0.0.1:0", to_string(engine.at())), -1};
+  Peer client{program.client_endpoint()};
   const std::string request = call(1, "0123456789abcdef", "select 1");
 };
 
 TEST_CASE_FIXTURE(
-    Restarting, "a request half read at SIGTERM is served once it is complete, then its connection closes") {
+    Restarting,
+    "a request that is incomplete at SIGTERM is served once complete, then its connection closes") {
   client.say(request.substr(0, 20));
-  program.tell(SIGTERM);
-  REQUIRE(program.until("told to end"));
+  program.send_signal(SIGTERM);
+  REQUIRE(program.wait_for_line("told to end"));
   client.say(request.substr(20));
   CHECK(client.until("a\tb\t0123456789abcdef\n"));
   CHECK_FALSE(client.until("anything"));
-  CHECK(program.ended() == 0);
+  CHECK(program.wait_for_exit() == 0);
 }
 
 // A supervisor repeats SIGTERM, and a reload comes in meanwhile. The request that is half sent is still
 // served.
 TEST_CASE_FIXTURE(Restarting, "a second SIGTERM and a SIGHUP during the shutdown change nothing") {
   client.say(request.substr(0, 20));
-  program.tell(SIGTERM);
-  REQUIRE(program.until("told to end"));
-  program.tell(SIGTERM);
-  program.tell(SIGHUP);
+  program.send_signal(SIGTERM);
+  REQUIRE(program.wait_for_line("told to end"));
+  program.send_signal(SIGTERM);
+  program.send_signal(SIGHUP);
   client.say(request.substr(20));
   CHECK(client.until("a\tb\t0123456789abcdef\n"));
-  CHECK(program.until("ended"));
-  CHECK(program.ended() == 0);
+  CHECK(program.wait_for_line("ended"));
+  CHECK(program.wait_for_exit() == 0);
 }
 
 // A client sends half a request and nothing more. The process must not wait for the rest until it is killed.
 TEST_CASE_FIXTURE(Restarting, "a request that never becomes complete does not delay the exit") {
   client.say(request.substr(0, 20));
-  program.tell(SIGTERM);
-  CHECK(program.until("ended"));
-  CHECK(program.ended() == 0);
+  program.send_signal(SIGTERM);
+  CHECK(program.wait_for_line("ended"));
+  CHECK(program.wait_for_exit() == 0);
   CHECK_FALSE(client.until("anything"));
 }
 
 TEST_CASE_FIXTURE(Restarting, "reloads in quick succession cost no response and no connection") {
-  Crowd crowd(program.serves_on(), 3);
-  crowd.wait_for(20);
+  ClientPool clients(program.client_endpoint(), 3);
+  clients.wait_for_responses(20);
   for (int i = 0; i < 40; ++i) {
-    program.tell(SIGHUP);
-    crowd.wait_for(1);
+    program.send_signal(SIGHUP);
+    clients.wait_for_responses(1);
   }
-  crowd.finish();
-  CHECK(crowd.lost == 0);
-  CHECK(crowd.turned_back == 0);
-  program.tell(SIGTERM);
-  CHECK(program.until("ended"));
-  CHECK(program.ended() == 0);
+  clients.stop();
+  CHECK(clients.lost == 0);
+  CHECK(clients.failed_sends == 0);
+  program.send_signal(SIGTERM);
+  CHECK(program.wait_for_line("ended"));
+  CHECK(program.wait_for_exit() == 0);
 }
 
 }  // namespace
--- a/tests/processes/running_measure.cpp
+++ b/tests/processes/running_measure.cpp
@@ -1,5 +1,5 @@
-// Upgrades under load, with what was learnt handed on and without, beside plain restarts; the same clients
-// and the same engine: what `measure/running` prints.
+// Compares upgrades under load, with and without the transfer of learned state, with plain restarts. All use
+// the same clients and the same engine. `measure/running` prints the result.
 //   yokestream_running_measure [--seed N] [--seconds N]
 #define DOCTEST_CONFIG_IMPLEMENT
 #include <doctest/doctest.h>
@@ -9,7 +9,7 @@
 #include <cstdio>
 #include <thread>
 
-#include "crowd.h"
+#include "client_pool.h"
 #include "program.h"
 
 namespace yokestream::test {
@@ -17,66 +17,69 @@
 
 using net::now;
 
-// Danger: the module compares logarithms of times. At a fifth of a millisecond one late wake-up of a busy
-// machine reads as a tenfold slowdown, and it refuses as for an overloaded pool.
-constexpr auto kTakes = std::chrono::milliseconds(20);
-constexpr long kRound = 400;  // answers: over two seconds, in which what was learnt is put down at least once
-constexpr long kFirst = 100;  // answers after a change of processes that are looked at
+// The policy module compares logarithms of times. With a service time of 0.2 ms one late wake-up on a busy
+// machine looks like a tenfold slowdown, and the module rejects requests as if the pool were overloaded.
+constexpr auto kServiceTime = std::chrono::milliseconds(20);
+// Over two seconds of responses, in which a snapshot of the learned state is written at least once.
+constexpr long kResponsesPerRound = 400;
+constexpr long kResponsesAfterReplacement = 100;  // responses that are examined after a process is replaced
 
-enum class Way { restart, upgrade, upgrade_cold };
+enum class Replacement { restart, upgrade, upgrade_cold };
 
 struct Sums {
-  long rounds = 0, first_unserved = 0, answered = 0, served = 0, turned_back = 0, lost = 0;
-  Duration longest{};  // without an answer to anybody
+  long rounds = 0, first_unserved = 0, answered = 0, served = 0, failed_sends = 0, lost = 0;
+  Duration longest_gap{};  // longest time without a response to any client
 };
 
-// Goes on until `done`, and notes the longest time without an answer.
+// Polls until `done`, and records the longest time without a response.
 template <class Done>
-void watch(const Crowd& crowd, Sums& sums, Done done) {
-  long last = crowd.answered;
+void watch(const ClientPool& client_pool, Sums& sums, Done done) {
+  long last = client_pool.answered;
   for (Time since = now(); !done(); std::this_thread::sleep_for(std::chrono::milliseconds(1))) {
-    const long answered = crowd.answered;
-    sums.longest = std::max(sums.longest, now() - since);
+    const long answered = client_pool.answered;
+    sums.longest_gap = std::max(sums.longest_gap, now() - since);
     if (std::exchange(last, answered) != answered) since = now();
   }
 }
 
-// The same under another name of its kind of engine: what was learnt of the one says nothing of the other.
-std::string renamed(std::string text) {
+// The same configuration with another engine kind, to which the learned state does not apply.
+std::string with_other_engine_kind(std::string text) {
   for (std::size_t at = 0; (at = text.find(R"("m")", at)) != std::string::npos;) text[at + 1] = 'k';
   return text;
 }
 
-// Rounds of replacing the one process that serves: beside it (an upgrade), or after its end.
-Sums play(Way way, std::uint32_t seed, Duration time) {
-  Folder folder;
+// Repeatedly replaces the one serving process: by a second process beside it (an upgrade), or after it has
+// exited.
+Sums run_rounds(Replacement replacement, std::uint32_t seed, Duration time) {
+  TemporaryDirectory directory;
   Listening clients;
-  Fickle engine(seed, true, kTakes);
+  Fickle engine(seed, true, kServiceTime);
   const std::string text =
       config_text(to_string(clients.at), to_string(engine.at())).insert(1, R"("management":"127.0.0.1:0",)");
   Sums sums;
   int starts = 0;
   const auto start = [&] {
-    const bool other = way == Way::upgrade_cold && ++starts % 2 == 0;
-    auto program = std::make_unique<Program>(folder, other ? renamed(text) : text, clients.fd.get());
-    ask_until(program->operators(), "readyz", "SUCCESS");
+    const bool other = replacement == Replacement::upgrade_cold && ++starts % 2 == 0;
+    auto program =
+        std::make_unique<Program>(directory, other ? with_other_engine_kind(text) : text, clients.fd.get());
+    wait_for_admin_response(program->admin_endpoint(), "readyz", "SUCCESS");
     return program;
   };
   auto serving = start();
-  Crowd crowd(clients.at, 12);
+  ClientPool client_pool(clients.at, 12);
   for (const Time until = now() + time; now() < until; ++sums.rounds) {
-    crowd.wait_for(kRound);
-    const long unserved = crowd.answered - crowd.served;
-    auto next = way == Way::restart ? nullptr : start();
-    serving->tell(SIGTERM);
-    watch(crowd, sums, [&] { return serving->has_ended(); });
+    client_pool.wait_for_responses(kResponsesPerRound);
+    const long unserved = client_pool.answered - client_pool.served;
+    auto next = replacement == Replacement::restart ? nullptr : start();
+    serving->send_signal(SIGTERM);
+    watch(client_pool, sums, [&] { return serving->has_exited(); });
     serving = next ? std::move(next) : start();
-    crowd.wait_for(kFirst);
-    sums.first_unserved += crowd.answered - crowd.served - unserved;
+    client_pool.wait_for_responses(kResponsesAfterReplacement);
+    sums.first_unserved += client_pool.answered - client_pool.served - unserved;
   }
-  crowd.finish();
-  sums.answered = crowd.answered, sums.served = crowd.served, sums.lost = crowd.lost;
-  sums.turned_back = crowd.turned_back;
+  client_pool.stop();
+  sums.answered = client_pool.answered, sums.served = client_pool.served, sums.lost = client_pool.lost;
+  sums.failed_sends = client_pool.failed_sends;
   return sums;
 }
 
@@ -84,8 +87,8 @@
 
 void print(const char* name, const Sums& s) {
   std::printf("%-20s %7ld %9ld %7.3f %14.2f %12.2f %5ld %13.0f\n", name, s.rounds, s.answered,
-              ratio(s.served, s.answered), ratio(s.first_unserved, s.rounds), ratio(s.turned_back, s.rounds),
-              s.lost, std::chrono::duration<double, std::milli>(s.longest).count());
+              ratio(s.served, s.answered), ratio(s.first_unserved, s.rounds), ratio(s.failed_sends, s.rounds),
+              s.lost, std::chrono::duration<double, std::milli>(s.longest_gap).count());
 }
 
 }  // namespace
@@ -103,16 +106,16 @@
   doctest::Context context;
   context.setAsDefaultForAssertsOutOfTestCases();
   const Duration each = std::chrono::seconds(seconds) / 3;
-  const Sums restarts = play(Way::restart, seed, each);
-  const Sums cold = play(Way::upgrade_cold, seed, each);
-  const Sums upgrades = play(Way::upgrade, seed, each);
+  const Sums restarts = run_rounds(Replacement::restart, seed, each);
+  const Sums cold = run_rounds(Replacement::upgrade_cold, seed, each);
+  const Sums upgrades = run_rounds(Replacement::upgrade, seed, each);
   std::printf("%-20s %7s %9s %7s %14s %12s %5s %13s\n", "", "rounds", "answered", "served", "first unserved",
               "turned back", "lost", "silence, ms");
   print("restarts", restarts), print("upgrades, cold", cold), print("upgrades, handed on", upgrades);
-  const bool holds = upgrades.lost == 0 && upgrades.turned_back <= 2 * upgrades.rounds &&
+  const bool holds = upgrades.lost == 0 && upgrades.failed_sends <= 2 * upgrades.rounds &&
                      upgrades.served * restarts.answered >= restarts.served * upgrades.answered &&
                      upgrades.first_unserved * cold.rounds <= cold.first_unserved * upgrades.rounds;
   std::printf("running: %s lost %ld, turned back %.2f an upgrade\n", holds ? "holds" : "falls short",
-              upgrades.lost, ratio(upgrades.turned_back, upgrades.rounds));
+              upgrades.lost, ratio(upgrades.failed_sends, upgrades.rounds));
   return holds ? 0 : 1;
 }
