--- a/src/migration/record.cpp
+++ b/src/migration/record.cpp
@@ -1,6 +1,7 @@
 // Encodes and decodes the migration record, and derives routing tables from it.
 //
-// Words of the stored form: `term` is the fencing token, `ended` outcomes, `back` rolling_back, `why` cause.
+// Stored keys that differ from the field names: `term` is fencing_token, `ended` outcomes, `back`
+// rolling_back, and `why` cause.
 #include "migration/record.h"
 
 #include <xxhash.h>
@@ -51,8 +52,8 @@
   return TableGroupId{std::stoull(text)};
 }
 
-// Position of this member, which is in the roster, in the plan's order. By name, so that a restarted manager
-// keeps its position; the order differs from plan to plan.
+// Position of a roster member in the plan's order of members. The order is by a hash of the plan's and the
+// member's names: a restarted manager keeps its position, and each plan has a different order.
 std::size_t rank_of(const MigrationRecord& record, const std::string& session, const std::string& plan) {
   const auto rank = [&](const std::string& name) {
     const std::string text = plan + "/" + name;
@@ -62,7 +63,7 @@
   return static_cast<std::size_t>(std::count_if(record.roster.begin(), record.roster.end(),
                                                 [&](const auto& other) { return rank(other.second) < own; }));
 }
-bool is_among_first(std::size_t rank, const MigrationRecord& record, double share) {
+bool rank_in_leading_share(std::size_t rank, const MigrationRecord& record, double share) {
   return static_cast<double>(rank) < std::ceil(share * static_cast<double>(record.roster.size()) - 1e-9);
 }
 
@@ -120,12 +121,13 @@
   return problems.empty() && out.epoch >= 0 ? std::optional(std::move(out)) : std::nullopt;
 }
 
-bool among_first(const MigrationRecord& record, const std::string& session, const std::string& plan,
-                 double share) {
-  return record.roster.count(session) && is_among_first(rank_of(record, session, plan), record, share);
+bool is_in_leading_share(const MigrationRecord& record, const std::string& session, const std::string& plan,
+                         double share) {
+  return record.roster.count(session) && rank_in_leading_share(rank_of(record, session, plan), record, share);
 }
 
-std::optional<routing::RouteTable> table_of(const MigrationRecord& record, const std::string& session) {
+std::optional<routing::RouteTable> routing_table_for(const MigrationRecord& record,
+                                                     const std::string& session) {
   if (!record.roster.count(session)) return std::nullopt;
   routing::RouteTable out;
   out.epoch = record.epoch;
@@ -135,11 +137,11 @@
   }
   for (const PlanProgress& progress : record.plans) {
     const std::size_t rank = rank_of(record, session, progress.plan.name);
-    std::vector<std::uint32_t> moved;  // by stage
+    std::vector<std::uint32_t> moved;  // buckets that this member moves, by stage
     for (const Stage& stage : progress.plan.stages)
       moved.push_back(
-          is_among_first(rank, record, stage.edge_share)
-              ? static_cast<std::uint32_t>(std::lround(stage.traffic_share * routing::Rule::kAllRequests))
+          rank_in_leading_share(rank, record, stage.edge_share)
+              ? static_cast<std::uint32_t>(std::lround(stage.traffic_share * routing::Rule::kTrafficBuckets))
               : 0);
     std::map<std::string, std::size_t> at;
     for (const auto& [name, origin] : progress.plan.origins) {
@@ -151,10 +153,10 @@
       const std::size_t step = progress.steps[i];
       routing::Rule rule{at[move.from], at[move.to], 0, routing::Rule::Loads::from};
       if (step > progress.plan.stages.size()) {
-        rule.moved_requests = routing::Rule::kAllRequests;
+        rule.moved_buckets = routing::Rule::kTrafficBuckets;
         rule.loads = step == progress.done_step() ? routing::Rule::Loads::to : routing::Rule::Loads::nowhere;
       } else if (step > 0) {
-        rule.moved_requests = moved[step - 1];
+        rule.moved_buckets = moved[step - 1];
       }
       out.rules[move.area] = rule;
     }
