--- a/src/dispatch/admission_stages.h
+++ b/src/dispatch/admission_stages.h
@@ -32,14 +32,14 @@
   void set_cores(Time now, double cores);  // this manager's share of the engines' cores
 
   // Requires has_throttle(). `origin` is the client's address as a number.
-  throttle::Verdict offer_to_throttle(Time now, policy::QueryId query, const RequestReceived& request,
-                                      std::uint64_t origin);
+  throttle::Admission offer_to_throttle(Time now, policy::QueryId query, const RequestReceived& request,
+                                        std::uint64_t origin);
   // Requires has_scheduler(). `cost_s` is the throttle's estimate in core seconds; 0 if there is none.
   scheduler::Verdict offer_to_scheduler(Time now, policy::QueryId query, const RequestReceived& request,
                                         double cost_s);
   scheduler::Quote quote(Time now, const RequestReceived& request);  // requires has_scheduler()
   // Returns the next queued request that the stage admits or rejects; nullopt if there is none.
-  std::optional<throttle::Moved> next_from_throttle(Time now);
+  std::optional<throttle::QueuedDecision> next_from_throttle(Time now);
   std::optional<scheduler::Moved> next_from_scheduler(Time now);
   Time next_due(Time now) const;  // Time::max() if neither stage needs a timer
 
@@ -52,7 +52,7 @@
   std::optional<scheduler::Bands::Change> next_band_change(Time now);
   void on_request_finished(Time now, policy::QueryId query, const throttle::Outcome& outcome);
 
-  std::optional<throttle::Figures> throttle_metrics() const;
+  std::optional<throttle::Metrics> throttle_metrics() const;
   std::optional<scheduler::Figures> scheduler_metrics() const;
   // Logs the metrics of a stage, at most once per 10 s, if requests were queued or rejected since the last
   // line.
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -47,7 +47,7 @@
   void configure(Time now, const throttle::Settings& settings);
   void configure(Time now, const scheduler::Settings& settings);
   // For the operators; nullopt or nullptr if the stage is disabled.
-  std::optional<throttle::Figures> throttle_metrics() const { return stages_.throttle_metrics(); }
+  std::optional<throttle::Metrics> throttle_metrics() const { return stages_.throttle_metrics(); }
   std::optional<scheduler::Figures> scheduler_metrics() const { return stages_.scheduler_metrics(); }
   const scheduler::Scheduler* scheduler() const { return stages_.scheduler(); }
 
--- a/src/dispatch/request_admission.cpp
+++ b/src/dispatch/request_admission.cpp
@@ -32,8 +32,8 @@
     return deps_.responder.reject(request, kOverloadedRetryAfter);
   apply_deadline_margin(request);
   const QueryId query = deps_.requests.next_query_id();
-  throttle::Verdict throttle_verdict;
-  if (deps_.stages.has_throttle() && reject_by_throttle(query, request, &throttle_verdict)) return;
+  throttle::Admission throttle_admission;
+  if (deps_.stages.has_throttle() && reject_by_throttle(query, request, &throttle_admission)) return;
   deps_.sessions.on_request_opened(deps_.clock.now(), request.session);
   Request entry;
   entry.response_deadline_timer =
@@ -43,7 +43,8 @@
   entry.received = std::move(request);
   entry.memory_reservation = std::move(memory);
   deps_.requests.insert(query, std::move(entry));
-  if (throttle_verdict.ruling == throttle::Ruling::pass) on_throttle_passed(query, throttle_verdict.cost);
+  if (throttle_admission.decision == throttle::Decision::admit)
+    on_throttle_passed(query, throttle_admission.cost);
 }
 
 // Returns true if the request was answered, or its connection closed, without queueing it.
@@ -86,11 +87,11 @@
 }
 
 bool RequestAdmission::reject_by_throttle(QueryId query, const RequestReceived& request,
-                                          throttle::Verdict* throttle_verdict) {
-  *throttle_verdict = deps_.stages.offer_to_throttle(deps_.clock.now(), query, request,
-                                                     deps_.sessions.origin(request.session));
-  if (throttle_verdict->ruling != throttle::Ruling::turn_away) return false;
-  deps_.responder.reject(request, throttle_verdict->hint);
+                                          throttle::Admission* throttle_admission) {
+  *throttle_admission = deps_.stages.offer_to_throttle(deps_.clock.now(), query, request,
+                                                       deps_.sessions.origin(request.session));
+  if (throttle_admission->decision != throttle::Decision::reject) return false;
+  deps_.responder.reject(request, throttle_admission->retry_after);
   return true;
 }
 
@@ -141,10 +142,10 @@
 bool RequestAdmission::advance_throttle() {
   const auto moved = deps_.stages.next_from_throttle(deps_.clock.now());
   if (!moved) return false;
-  if (moved->verdict.ruling == throttle::Ruling::pass)
-    on_throttle_passed(moved->query, moved->verdict.cost);
+  if (moved->admission.decision == throttle::Decision::admit)
+    on_throttle_passed(moved->query, moved->admission.cost);
   else
-    deps_.responder.reject_unsubmitted(moved->query, moved->verdict.hint);
+    deps_.responder.reject_unsubmitted(moved->query, moved->admission.retry_after);
   return true;
 }
 
