--- a/src/base/csv.cpp
+++ b/src/base/csv.cpp
@@ -6,21 +6,22 @@
 
 namespace yokestream::csv {
 
-void for_each_record(const std::string& text, std::size_t count,
-                     const std::function<void(const Cells&)>& take) {
+void for_each_record(const std::string& text, std::size_t cell_count,
+                     const std::function<void(const Cells&)>& handle_record) {
   std::istringstream in(text);
-  int number = 0;
+  int line_number = 0;
   for (std::string line; std::getline(in, line);) {
-    ++number;
+    ++line_number;
     if (line.empty() || line[0] == '#') continue;
     Cells cells;
     std::stringstream row(line);
     for (std::string cell; std::getline(row, cell, ',');) cells.push_back(cell);
     try {
-      if (cells.size() != count) throw std::runtime_error("not " + std::to_string(count) + " cells");
-      take(cells);
+      if (cells.size() != cell_count)
+        throw std::runtime_error("not " + std::to_string(cell_count) + " cells");
+      handle_record(cells);
     } catch (const std::exception& problem) {
-      throw std::runtime_error("line " + std::to_string(number) + ": " + problem.what());
+      throw std::runtime_error("line " + std::to_string(line_number) + ": " + problem.what());
     }
   }
 }
@@ -32,7 +33,7 @@
     if (end == cell.size() && value >= 0) return value;
   } catch (const std::logic_error&) {
   }
-  throw std::runtime_error("not a number of 0 or more: " + cell);
+  throw std::runtime_error("expected a number of 0 or more, found: " + cell);
 }
 
 std::string read_file(const std::string& path) {
--- a/src/base/csv.h
+++ b/src/base/csv.h
@@ -1,5 +1,5 @@
-// Comma-separated values as our own tools read them: one record a line, no quoting; empty lines and lines
-// that begin with # are skipped.
+// Reader for comma-separated files: one record per line, no quoting. Empty lines and lines that begin with #
+// are skipped.
 #pragma once
 
 #include <functional>
@@ -9,11 +9,12 @@
 namespace yokestream::csv {
 
 using Cells = std::vector<std::string>;
-// Calls `take` with each line's cells. What it throws comes out as std::runtime_error that begins with "line
-// N: ".
-void for_each_record(const std::string& text, std::size_t cells,
-                     const std::function<void(const Cells&)>& take);
-double parse_number(const std::string& cell);    // throws std::runtime_error where it is none, or below 0
+// Calls `handle_record` with the cells of each line. An exception that it throws, or a line that doesn't have
+// `cell_count` cells, is reported as a std::runtime_error whose message begins with "line N: ".
+void for_each_record(const std::string& text, std::size_t cell_count,
+                     const std::function<void(const Cells&)>& handle_record);
+// Parses a number of 0 or more; throws std::runtime_error for anything else.
+double parse_number(const std::string& cell);
 std::string read_file(const std::string& path);  // throws std::runtime_error
 
 }  // namespace yokestream::csv
--- a/src/base/json.cpp
+++ b/src/base/json.cpp
@@ -10,17 +10,17 @@
   return Json::writeString(builder, value);
 }
 
-std::optional<Json::Value> read_json(std::string_view text, std::size_t most, int deepest) try {
-  if (text.size() > most) return std::nullopt;
+std::optional<Json::Value> read_json(std::string_view text, std::size_t max_bytes, int max_depth) try {
+  if (text.size() > max_bytes) return std::nullopt;
   Json::CharReaderBuilder builder;
   builder["collectComments"] = false;
-  builder["stackLimit"] = deepest;
+  builder["stackLimit"] = max_depth;
   const std::unique_ptr<Json::CharReader> reader(builder.newCharReader());
   Json::Value value;
-  std::string problems;
-  if (!reader->parse(text.data(), text.data() + text.size(), &value, &problems)) return std::nullopt;
+  std::string errors;
+  if (!reader->parse(text.data(), text.data() + text.size(), &value, &errors)) return std::nullopt;
   return value;
-} catch (const Json::Exception&) {  // too deep
+} catch (const Json::Exception&) {  // thrown when the text is nested too deeply
   return std::nullopt;
 }
 
--- a/src/base/json.h
+++ b/src/base/json.h
@@ -1,4 +1,4 @@
-// JSON text in and out, as records and files of ours need it: compact out; in, bounded in bytes and depth.
+// JSON for stored records and files: compact when written, limited in size and depth when read.
 #pragma once
 
 #include <json/json.h>
@@ -11,7 +11,7 @@
 namespace yokestream::base {
 
 std::string write_json(const Json::Value& value);
-// nullopt: no JSON, more than `most` bytes, or nested deeper than `deepest`.
-std::optional<Json::Value> read_json(std::string_view text, std::size_t most, int deepest = 16);
+// Returns nullopt if `text` is not JSON, is longer than `max_bytes` or is nested deeper than `max_depth`.
+std::optional<Json::Value> read_json(std::string_view text, std::size_t max_bytes, int max_depth = 16);
 
 }  // namespace yokestream::base
--- a/src/base/seconds.h
+++ b/src/base/seconds.h
@@ -1,4 +1,4 @@
-// Durations as numbers of seconds, for what is worked out in them.
+// Conversions between durations and seconds, for calculations in floating point.
 #pragma once
 
 #include <algorithm>
@@ -7,9 +7,12 @@
 
 namespace yokestream {
 
+inline constexpr double kEndlessSeconds = 1e6;  // longer times are treated as endless
+
 inline double seconds_of(policy::Duration d) { return std::chrono::duration<double>(d).count(); }
-inline policy::Duration from_seconds(double s) {  // no more than a million: what is longer is for ever
-  return policy::Duration(static_cast<policy::Duration::rep>(std::min(s, 1e6) * 1e9));
+// Times beyond kEndlessSeconds are cut to it.
+inline policy::Duration from_seconds(double s) {
+  return policy::Duration(static_cast<policy::Duration::rep>(std::min(s, kEndlessSeconds) * 1e9));
 }
 
 }  // namespace yokestream
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -11,45 +11,45 @@
 namespace {
 
 constexpr const char* kPrefix = "edge_relay.";
-constexpr const char* kClass = "class";
-constexpr const char* kEnd = "end";
-constexpr std::array<const char*, 3> kEnds = {"served", "refused", "failed"};  // by End
+constexpr const char* kClassLabel = "class";
+constexpr const char* kOutcomeLabel = "end";
+constexpr std::array<const char*, 3> kOutcomeNames = {"served", "refused", "failed"};  // by RequestOutcome
 
-std::string label(const prometheus::ClientMetric& metric, const std::string& name) {
+std::string label_value(const prometheus::ClientMetric& metric, const std::string& name) {
   for (const auto& pair : metric.label) {
     if (pair.name == name) return pair.value;
   }
   return {};
 }
 
-std::string line(const std::string& name, double value, char kind) {
-  return kPrefix + name + ':' + std::to_string(std::llround(value)) + '|' + kind + '\n';
+std::string format_line(const std::string& name, double value, char type) {
+  return kPrefix + name + ':' + std::to_string(std::llround(value)) + '|' + type + '\n';
 }
 
 }  // namespace
 
 struct Metrics::Impl {
   prometheus::Registry registry;
-  std::vector<std::array<prometheus::Counter*, kEnds.size()>> requests;  // by class
+  std::vector<std::array<prometheus::Counter*, kOutcomeNames.size()>> requests;  // by class and outcome
   prometheus::Counter* attempts = nullptr;
-  prometheus::Gauge *in_flight = nullptr, *known = nullptr, *excluded = nullptr;
+  prometheus::Gauge *in_flight = nullptr, *known_engines = nullptr, *excluded_engines = nullptr;
 };
 
 Metrics::Metrics(const std::vector<std::string>& classes) : impl_(std::make_unique<Impl>()) {
   auto& registry = impl_->registry;
   auto& requests = prometheus::BuildCounter().Name("requests").Register(registry);
   for (const auto& name : classes) {
-    auto& of_class = impl_->requests.emplace_back();
-    for (std::size_t end = 0; end < kEnds.size(); ++end)
-      of_class[end] = &requests.Add({{kClass, name}, {kEnd, kEnds[end]}});
+    auto& counters = impl_->requests.emplace_back();
+    for (std::size_t outcome = 0; outcome < kOutcomeNames.size(); ++outcome)
+      counters[outcome] = &requests.Add({{kClassLabel, name}, {kOutcomeLabel, kOutcomeNames[outcome]}});
   }
   impl_->attempts = &prometheus::BuildCounter().Name("attempts").Register(registry).Add({});
-  const auto gauge = [&](const char* name) {
+  const auto add_gauge = [&](const char* name) {
     return &prometheus::BuildGauge().Name(name).Register(registry).Add({});
   };
-  impl_->in_flight = gauge("in_flight");
-  impl_->known = gauge("engines_known");
-  impl_->excluded = gauge("engines_excluded");
+  impl_->in_flight = add_gauge("in_flight");
+  impl_->known_engines = add_gauge("engines_known");
+  impl_->excluded_engines = add_gauge("engines_excluded");
 }
 
 Metrics::~Metrics() = default;
@@ -63,18 +63,21 @@
 void Metrics::set_in_flight(std::size_t requests) { impl_->in_flight->Set(static_cast<double>(requests)); }
 
 void Metrics::set_engines(std::size_t known, std::size_t excluded) {
-  impl_->known->Set(static_cast<double>(known));
-  impl_->excluded->Set(static_cast<double>(excluded));
+  impl_->known_engines->Set(static_cast<double>(known));
+  impl_->excluded_engines->Set(static_cast<double>(excluded));
 }
 
 std::string Metrics::text() const {
   std::string out;
   for (const auto& family : impl_->registry.Collect()) {
     for (const auto& metric : family.metric) {
-      const auto cls = label(metric, kClass);
-      const auto name = cls.empty() ? family.name : family.name + '.' + cls + '.' + label(metric, kEnd);
-      const bool counts = family.type == prometheus::MetricType::Counter;
-      out += line(name, counts ? metric.counter.value : metric.gauge.value, counts ? 'c' : 'g');
+      const auto class_name = label_value(metric, kClassLabel);
+      const auto name = class_name.empty()
+                            ? family.name
+                            : family.name + '.' + class_name + '.' + label_value(metric, kOutcomeLabel);
+      const bool is_counter = family.type == prometheus::MetricType::Counter;
+      out +=
+          format_line(name, is_counter ? metric.counter.value : metric.gauge.value, is_counter ? 'c' : 'g');
     }
   }
   return out;
--- a/src/metrics/metrics.h
+++ b/src/metrics/metrics.h
@@ -1,8 +1,8 @@
-// What the program counts of itself, for the operators' door.
+// Counters and gauges of this process, which the management port exports as text.
 //
-// Owns one registry of counters and gauges, and their names on the wire. Every count starts at 0 with the
-// process. Never decides anything, and reads no clock. Any thread may call: a count is one atomic addition;
-// text() takes a lock that no counting takes. Memory: a few hundred bytes a class, fixed at the start.
+// All values start at 0 with the process. Metrics makes no decisions and reads no clock. Thread-safe: an
+// update is one atomic operation; text() takes a lock that updates do not take. Memory is allocated once, a
+// few hundred bytes per class.
 #pragma once
 
 #include <cstddef>
@@ -12,21 +12,21 @@
 
 namespace yokestream::metrics {
 
-enum class RequestOutcome { served, rejected, failed };  // of a request, as its client heard it
+enum class RequestOutcome { served, rejected, failed };  // as reported to the client
 
 class Metrics {
  public:
   explicit Metrics(const std::vector<std::string>& classes);
   ~Metrics();
 
-  void count_request(std::size_t query_class,
-                     RequestOutcome outcome);  // a request of the class of this position has its final answer
-  void count_attempt();                        // written whole to an engine
-  void set_in_flight(std::size_t requests);    // taken and not ended
+  // Counts a request that has received its final answer. `query_class` is the position of its class in the
+  // list that was passed to the constructor.
+  void count_request(std::size_t query_class, RequestOutcome outcome);
+  void count_attempt();                      // an attempt was completely written to an engine
+  void set_in_flight(std::size_t requests);  // accepted and not yet finished
   void set_engines(std::size_t known, std::size_t excluded);
 
-  // All figures, each on a line of its own: `edge_relay.NAME:VALUE|c` for counts, `|g` for what goes up and
-  // down.
+  // Returns all metrics, one per line: `edge_relay.NAME:VALUE|c` for counters and `|g` for gauges.
   std::string text() const;
 
  private:
--- a/src/simulator_adapter/host.cpp
+++ b/src/simulator_adapter/host.cpp
@@ -15,49 +15,50 @@
   Host(std::istream& in, std::ostream& out) : in_(in), out_(out) {}
 
   void run() {
-    while (next(true)) batch();
+    while (read_line(true)) handle_batch();
   }
 
  private:
-  static constexpr std::uint64_t kLists = 16;  // lists are numbered 0 to 15 on this wire
+  static constexpr std::uint64_t kMaxEngineLists = 16;  // the protocol numbers them from 0 to 15
 
-  bool next(bool may_end) {
+  // Reads the next line that is not empty. Returns false at the end of the input, if `end_allowed`.
+  bool read_line(bool end_allowed) {
     do {
       if (!std::getline(in_, text_)) {
-        if (may_end) return false;
-        throw WireError(number_ + 1, "", "the input ends inside a batch");
+        if (end_allowed) return false;
+        throw WireError(line_number_ + 1, "", "the input ends inside a batch");
       }
-      ++number_;
-      if (in_.eof()) throw WireError(number_, "", "the input ends inside a line");
+      ++line_number_;
+      if (in_.eof()) throw WireError(line_number_, "", "the input ends inside a line");
       if (!text_.empty() && text_.back() == '\r') text_.pop_back();
     } while (text_.empty());
     return true;
   }
 
-  void batch() {
-    const std::string head = text_;
-    const Line clock(number_, head);
+  void handle_batch() {
+    const std::string first_line = text_;
+    const Line clock(line_number_, first_line);
     if (clock.word() != "clock") clock.fail("clock", "expected, found '" + std::string(clock.word()) + "'");
     const policy::Time now{policy::Duration(clock.integer("Wall"))};
-    if (now < last_) clock.fail("Wall", "runs backwards");
-    last_ = now;
-    const std::uint64_t turn = clock.natural("turn");
+    if (now < previous_batch_at_) clock.fail("Wall", "earlier than in the previous batch");
+    previous_batch_at_ = now;
+    const std::uint64_t turn = clock.unsigned_integer("turn");
     std::string reply;
     while (true) {
-      next(false);
-      const Line line(number_, text_);
+      read_line(false);
+      const Line line(line_number_, text_);
       if (line.word() == "your_turn") break;
-      event(line, now, reply);
+      handle_line(line, now, reply);
     }
     out_ << reply << "ok\tturn=" << turn << '\n' << std::flush;
   }
 
-  void event(const Line& line, policy::Time now, std::string& reply) {
-    if (line.word() == "sheet") return sheet(line);
-    const std::uint64_t instance = line.natural("I");
+  void handle_line(const Line& line, policy::Time now, std::string& reply) {
+    if (line.word() == "sheet") return read_engine_list(line);
+    const std::uint64_t instance = line.unsigned_integer("I");
     try {
       if (line.word() == "begin") {
-        const std::uint64_t seed = line.natural("RandomSeed");
+        const std::uint64_t seed = line.unsigned_integer("RandomSeed");
         controllers_.erase(instance);
         controllers_.emplace(instance, policy::AdmissionController(decode_settings(line), seed, now));
         return;
@@ -66,9 +67,9 @@
         controllers_.erase(instance);
         return;
       }
-      const Event event = line.word() == "members" ? Event(members(line)) : decode_event(line);
+      const Event event = line.word() == "members" ? Event(decode_engine_list(line)) : decode_event(line);
       const auto it = controllers_.find(instance);
-      if (it == controllers_.end()) return;  // not running (any more)
+      if (it == controllers_.end()) return;  // not started yet, or already torn down
       actions_.clear();
       it->second.handle(now, event, actions_);
       for (const Action& action : actions_) encode(action, instance, reply);
@@ -77,23 +78,23 @@
     }
   }
 
-  void sheet(const Line& line) {
-    const std::uint64_t list = line.natural("RosterId");
-    if (list >= kLists) line.fail("RosterId", "not between 0 and 15");
-    const std::uint64_t count = line.natural("MembersList");
+  void read_engine_list(const Line& line) {
+    const std::uint64_t list_id = line.unsigned_integer("RosterId");
+    if (list_id >= kMaxEngineLists) line.fail("RosterId", "not between 0 and 15");
+    const std::uint64_t count = line.unsigned_integer("MembersList");
     std::vector<EngineEntry> entries;
     for (std::uint64_t i = 0; i < count; ++i) {
-      next(false);
-      entries.push_back(decode_entry(Line(number_, text_)));
+      read_line(false);
+      entries.push_back(decode_entry(Line(line_number_, text_)));
     }
-    lists_[list] = std::move(entries);
+    engine_lists_[list_id] = std::move(entries);
   }
 
-  EngineList members(const Line& line) const {
-    EngineList list = decode_list_head(line);
+  EngineList decode_engine_list(const Line& line) const {
+    EngineList list = decode_list_header(line);
     if (list.kind == policy::EngineListKind::failed) return list;
-    const auto it = lists_.find(line.natural("RosterId"));
-    if (it == lists_.end()) line.fail("RosterId", "no such list");
+    const auto it = engine_lists_.find(line.unsigned_integer("RosterId"));
+    if (it == engine_lists_.end()) line.fail("RosterId", "no engine list with this number");
     list.entries = it->second;
     return list;
   }
@@ -101,9 +102,9 @@
   std::istream& in_;
   std::ostream& out_;
   std::string text_;
-  std::size_t number_ = 0;
-  policy::Time last_ = policy::Time::min();
-  std::map<std::uint64_t, std::vector<EngineEntry>> lists_;
+  std::size_t line_number_ = 0;
+  policy::Time previous_batch_at_ = policy::Time::min();
+  std::map<std::uint64_t, std::vector<EngineEntry>> engine_lists_;
   std::map<std::uint64_t, policy::AdmissionController> controllers_;
   std::vector<Action> actions_;
 };
--- a/src/snapshot/learned_state_codec.cpp
+++ b/src/snapshot/learned_state_codec.cpp
@@ -14,9 +14,9 @@
 constexpr std::size_t kChecksumBytes = sizeof(XXH64_hash_t);
 constexpr std::size_t kMaxNameBytes = 1024;
 
-// The format is described once, by the function templates below over an Archive: a Writer that appends or a
-// Reader that consumes the same members in the same order. Numbers are stored as the machine holds them. Each
-// function returns false when the bytes do not fit the format; a Writer always succeeds.
+// The archive_* function templates below define the format for both directions: with a Writer they append the
+// members, with a Reader they consume them in the same order. Numbers are stored in the machine's native
+// representation. Each function returns false if the bytes do not match the format; a Writer always succeeds.
 struct Writer {
   std::string bytes;
 
@@ -37,7 +37,7 @@
 };
 
 struct Reader {
-  std::string_view bytes;  // not read yet
+  std::string_view bytes;  // the part that was not read yet
 
   template <class T>
   bool number(T& value) {
@@ -53,8 +53,8 @@
     bytes.remove_prefix(size);
     return true;
   }
-  // Failure: a corrupt size asks for gigabytes. Symptom: the process runs out of memory while it starts.
-  // Guard: a list is not resized beyond what the remaining bytes can hold.
+  // Failure: a corrupt size would make the reader allocate gigabytes. Symptom: the process runs out of memory
+  // during its start. Guard: a list is never resized to more elements than the remaining bytes can hold.
   template <class List>
   bool size(List& list, std::size_t min_element_bytes) {
     std::uint32_t size = 0;
@@ -139,7 +139,8 @@
          archive_list(archive, state.engines, sizeof(std::uint32_t), archive_one_engine);
 }
 
-// Learned values are stored by position, which means something under the same names only.
+// Learned values are stored by the position of their class and kind, so a successor with other names or
+// another order of them must not use them.
 std::uint64_t digest(const config::RealSettings& names) {
   std::string text;
   for (const auto* list : {&names.classes, &names.kinds}) {
@@ -154,17 +155,17 @@
 std::string_view to_string(DecodeError error) {
   switch (error) {
     case DecodeError::too_long:
-      return "it is too long";
+      return "it exceeds the size limit";
     case DecodeError::other_format:
-      return "it is of another form";
+      return "it has another format";
     case DecodeError::truncated:
-      return "it is cut short";
+      return "it is truncated";
     case DecodeError::corrupt:
-      return "it is cut short or spoilt";
+      return "it is truncated or corrupt";
     case DecodeError::other_settings:
-      return "it is of other classes or kinds";
+      return "it was made with other classes or kinds";
     case DecodeError::other_clock:
-      return "it is of another clock";
+      return "it was made with another clock";
   }
   return "";
 }
--- a/src/statement/table_group.h
+++ b/src/statement/table_group.h
@@ -1,4 +1,4 @@
-// Which group of tables a statement reads or writes, by the name of its schema.
+// Finds the table group that a statement reads or writes, from the name of its schema.
 #pragma once
 
 #include <cstdint>
@@ -7,9 +7,10 @@
 
 namespace yokestream::statement {
 
-// The number after the last underscore of the schema's name: 17 in `sales_17.orders`. Names in strings,
-// quoted text and comments do not count, nor does the schema `staging`. A name that follows FROM, JOIN, INTO,
-// UPDATE or TABLE comes before any other, which may be an alias. nullopt: the statement names no group.
+// Returns the number after the last underscore of the schema name: 17 for `sales_17.orders`. Strings, quoted
+// names and comments are ignored, and so is a schema without such a number, like `staging`. A schema that
+// follows FROM, JOIN, INTO, UPDATE or TABLE takes precedence over one that stands elsewhere, which may be an
+// alias. Returns nullopt if the statement names no table group.
 std::optional<std::uint64_t> table_group(std::string_view sql);
 
 }  // namespace yokestream::statement
--- a/tests/node/deadline_test.cpp
+++ b/tests/node/deadline_test.cpp
@@ -1,5 +1,6 @@
-// Core, door, queues, module and engines together, on the virtual clock: the deadline traffic and what can go
-// wrong in it. Each situation is played with its guard; where that tells something, without it too.
+// Dispatcher, throttle, scheduler, decision module and simulated engines together, on a virtual clock: the
+// recorded deadline traffic and its failures. Some situations are also simulated with the protection switched
+// off, for comparison.
 #include "standin/deadline.h"
 
 #include <doctest/doctest.h>
@@ -14,18 +15,18 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-std::vector<Load> traffic() { return read_traffic(csv::read_file(YOKESTREAM_TRAFFIC)); }
+std::vector<Load> recorded_traffic() { return read_traffic(csv::read_file(YOKESTREAM_TRAFFIC)); }
 
-// A smaller pool: what the situations need, in a tenth of the requests.
-Load stream(std::size_t member, std::size_t cls, double per_s, double work, int until = 40) {
+// Traffic for a pool of two small engines, which needs a tenth of the requests of the recorded traffic.
+Load stream(std::size_t tenant, std::size_t query_class, double per_s, double work, int until = 40) {
   Load load;
-  load.member = member, load.cls = cls, load.per_s = per_s, load.work = work;
+  load.member = tenant, load.cls = query_class, load.per_s = per_s, load.work = work;
   load.until = seconds(until), load.clients = 16;
-  load.patience = cls == kLookup ? seconds(6) : seconds(25);
-  load.memory = cls == kLookup ? 32 : 256;
+  load.patience = query_class == kLookup ? seconds(6) : seconds(25);
+  load.memory = query_class == kLookup ? 32 : 256;
   return load;
 }
-DeadlinePlay small(std::uint64_t seed) {
+DeadlinePlay small_pool(std::uint64_t seed) {
   DeadlinePlay play;
   play.seed = seed, play.engines = 2, play.cores = 4;
   play.length = seconds(60);
@@ -41,11 +42,11 @@
   }
 }
 
-TEST_CASE("the ramp, then nothing: every request is answered once, no load runs twice, quotes hold") {
+TEST_CASE("recorded ramp: every request is answered once, no load runs twice, wait estimates are accurate") {
   DeadlinePlay play;
-  play.scale = 0.125,
-  play.engines = 2;  // what it takes to be right nine times in ten is shown by measure/queues
-  const auto seen = play_deadline(traffic(), play);
+  // Scaled down for speed. That nine of ten estimates are accurate is checked by measure/queues.
+  play.scale = 0.125, play.engines = 2;
+  const auto seen = play_deadline(recorded_traffic(), play);
   check_rules(seen);
   REQUIRE(seen.long_quotes > 1000);
   CHECK(static_cast<double>(seen.right) > 0.6 * static_cast<double>(seen.quotes));
@@ -53,43 +54,44 @@
   CHECK(seen.figures.expired < seen.figures.waited / 50);
 }
 
-TEST_CASE("a team's lookups at eight times its budget for a minute do not bury another's reports") {
-  double kept = 0, without = 0;
+TEST_CASE("lookups of a team at eight times its budget do not delay the reports of another team") {
+  double kept = 0, kept_unprotected = 0;
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    auto play = small(seed);
-    const std::vector<Load> usual = {stream(0, kReport, 1.5, 1.2, 60), stream(1, kLookup, 8, 0.1, 60)};
-    auto flooded = usual;
+    auto play = small_pool(seed);
+    const std::vector<Load> normal_load = {stream(0, kReport, 1.5, 1.2, 60), stream(1, kLookup, 8, 0.1, 60)};
+    auto flooded = normal_load;
     flooded.push_back(stream(2, kLookup, 8 * 0.13 * 8 / 0.1, 0.1, 60));
-    const auto alone = play_deadline(usual, play), with = play_deadline(flooded, play);
+    const auto alone = play_deadline(normal_load, play), with = play_deadline(flooded, play);
     check_rules(with);
     kept += with.in_time(kReport, 0) / alone.in_time(kReport, 0) / 3;
     play.queues = false;
-    without += play_deadline(flooded, play).in_time(kReport, 0) / alone.in_time(kReport, 0) / 3;
+    kept_unprotected += play_deadline(flooded, play).in_time(kReport, 0) / alone.in_time(kReport, 0) / 3;
   }
   CHECK(kept > 0.95);
-  CHECK(kept > without);
+  CHECK(kept > kept_unprotected);
 }
 
-TEST_CASE("a burst of bad plans: the sunk ones give way to lookups at full rate") {
-  double kept = 0, without = 0;
+TEST_CASE("queries with bad plans are demoted, so that lookups keep their rate") {
+  double kept = 0, kept_unprotected = 0;
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    auto play = small(seed);
-    std::vector<Load> usual = {stream(0, kReport, 0.6, 1.2), stream(1, kLookup, 20, 0.1)};
-    auto bad = usual;
-    bad[0].bad_plans = 0.4;
-    const auto good = play_deadline(usual, play), seen = play_deadline(bad, play);
+    auto play = small_pool(seed);
+    std::vector<Load> normal_load = {stream(0, kReport, 0.6, 1.2), stream(1, kLookup, 20, 0.1)};
+    auto bad_plans = normal_load;
+    bad_plans[0].bad_plans = 0.4;
+    const auto good = play_deadline(normal_load, play), seen = play_deadline(bad_plans, play);
     check_rules(seen);
     CHECK(seen.figures.sunk > 0);
     kept += seen.in_time(kLookup) / good.in_time(kLookup) / 3;
     play.change = [](scheduler::Settings& q) { q.sink = 100; };
-    without += play_deadline(bad, play).in_time(kLookup) / good.in_time(kLookup) / 3;
+    kept_unprotected += play_deadline(bad_plans, play).in_time(kLookup) / good.in_time(kLookup) / 3;
   }
   CHECK(kept > 0.9);
-  CHECK(kept >= without - 0.02);
+  CHECK(kept >= kept_unprotected - 0.02);
 }
 
-// What breaks, beside an overload that makes requests wait: give-ups, deaths and cold returns, drains by
-// leaving, a core that stands still, a team that goes while its requests wait.
+// An overload that makes requests wait. The test adds the incidents: clients that give up, an engine that
+// dies and restarts cold, a dispatcher that stalls, a graceful shutdown, and a team that is removed while its
+// requests are queued.
 std::vector<Load> overload() {
   std::vector<Load> loads = {stream(0, kLookup, 60, 0.1), stream(0, kReport, 2, 1.2),
                              stream(1, kLookup, 40, 0.1), stream(1, kLoad, 0.8, 1.2),
@@ -98,9 +100,10 @@
   return loads;
 }
 
-TEST_CASE("random incidents over 20 seeds: one answer each, no load twice, nobody waits past the bound") {
+TEST_CASE(
+    "random incidents, 20 seeds: each request gets one answer, no load runs twice, waits stay bounded") {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    auto play = small(seed);
+    auto play = small_pool(seed);
     play.door = seed % 2;
     auto loads = overload();
     if (seed % 3 == 0) loads[0].give_up = milliseconds(300), loads[3].give_up = milliseconds(700);
@@ -112,7 +115,7 @@
       world.at(at(2), [&world] { world.revive(0); });
       world.at(at(3), [&world, seed] {
         auto fewer = teams_of_members();
-        fewer.teams.pop_back();  // its requests go to the rest
+        fewer.teams.pop_back();  // its tenant joins the first team
         fewer.team_of.back() = 0;
         fewer.teams[1].budget = seed % 2 ? 0 : 1e6;
         world.configure(fewer);
@@ -125,29 +128,28 @@
     const auto seen = play_deadline(loads, play);
     check_rules(seen);
     CHECK(seen.figures.waited > 100);
-    CHECK(seen.figures.longest_wait <= 10.6);  // ten seconds, and a core that stood still
+    CHECK(seen.figures.longest_wait <= 10.6);  // the limit of 10 s, and the stall of the dispatcher
   }
 }
 
-TEST_CASE("estimates ten times off, both ways, cost the teams that tell the truth nothing") {
-  for (const double times : {0.1, 10.0}) {
-    CAPTURE(times);
+TEST_CASE("work estimates wrong by a factor of ten do not delay teams with correct estimates") {
+  for (const double factor : {0.1, 10.0}) {
+    CAPTURE(factor);
     double kept = 0;
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-      const auto play = small(seed);
+      const auto play = small_pool(seed);
       std::vector<Load> loads = {stream(0, kLookup, 20, 0.1), stream(1, kLookup, 100, 0.1)};
-      const auto truth = play_deadline(loads, play);
-      loads[1].told_times = times;
+      const auto correct = play_deadline(loads, play);
+      loads[1].told_times = factor;
       const auto seen = play_deadline(loads, play);
       check_rules(seen);
-      kept += seen.in_time(kLookup, 0) / truth.in_time(kLookup, 0) / 3;
+      kept += seen.in_time(kLookup, 0) / correct.in_time(kLookup, 0) / 3;
     }
     CHECK(kept > 0.95);
   }
 }
 
-TEST_CASE(
-    "with the queues on and room for all, only the priorities of what runs may differ from without them") {
+TEST_CASE("without overload the scheduler changes nothing but the priorities of running queries") {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     std::vector<std::string> actions[2];
     for (const bool on : {false, true}) {
@@ -168,7 +170,7 @@
   }
 }
 
-TEST_CASE("recorded traffic: a wrong line is named") {
+TEST_CASE("recorded traffic: the error names the invalid line") {
   CHECK_THROWS_WITH_AS(read_traffic("# a\n0,1,nobody,nom-lookup,1,1,1,0,0\n"), doctest::Contains("line 2"),
                        std::runtime_error);
   CHECK_THROWS_WITH_AS(read_traffic("0,1,oasis-gaz,nom-lookup,x,1,1,0,0\n"), doctest::Contains("line 1"),
--- a/tests/node/dialing_test.cpp
+++ b/tests/node/dialing_test.cpp
@@ -1,5 +1,5 @@
-// From the decision module's choice to a connection: lacks on this machine, and clients whose disconnect was
-// not handled yet.
+// Connecting to the engine that the decision module has selected: local failures, such as no free port, and
+// clients whose disconnect was not handled yet.
 #include <doctest/doctest.h>
 
 #include "dispatcher_fixture.h"
@@ -7,30 +7,33 @@
 namespace yokestream::test {
 namespace {
 
-struct Connecting : DispatcherFixture {
-  void fail_locally() { handle(dispatch::EngineDisconnected{last_attempt().connection, "no port", true}); }
-  long sends() const { return count("send 0000000000000001"); }
+struct ConnectingFixture : DispatcherFixture {
+  void fail_connect_locally() {
+    handle(dispatch::EngineDisconnected{last_attempt().connection, "no port", true});
+  }
+  long send_count() const { return count("send 0000000000000001"); }
 };
 
-TEST_CASE_FIXTURE(Connecting,
-                  "a lack on this machine reconnects the same attempt, also past the maximum of attempts") {
-  send_request(1, 1);  // one that must not run twice
+TEST_CASE_FIXTURE(
+    ConnectingFixture,
+    "after a local failure the same attempt reconnects, also beyond the maximum number of attempts") {
+  send_request(1, 1);  // not idempotent
   for (int i = 0; i < 10; ++i) {
-    fail_locally();
+    fail_connect_locally();
     advance(10ms);
   }
-  CHECK(sends() == 11);
+  CHECK(send_count() == 11);
   CHECK(replies_to(1).empty());
   respond(write_last_attempt(), ResponseType::result, 1, 0, "a\tb\tc\n");
   CHECK(replies_to(1).back().kind == "served");
 }
 
 TEST_CASE_FIXTURE(
-    Connecting,
-    "a lack that lasts counts as never sent: the request is rejected, and the engine not ejected") {
+    ConnectingFixture,
+    "a lasting local failure counts as never sent: the request is rejected, the engine not ejected") {
   send_request(1);
   for (int i = 0; i < 400 && replies_to(1).empty(); ++i) {
-    if (!attempts.empty()) fail_locally();
+    if (!attempts.empty()) fail_connect_locally();
     advance(10ms);
   }
   REQUIRE_FALSE(replies_to(1).empty());
@@ -38,43 +41,46 @@
   CHECK(dispatcher.metrics().text().find("engines_excluded:0") != std::string::npos);
 }
 
-TEST_CASE_FIXTURE(Connecting, "a request cancelled or out of time while it reconnects is not sent") {
+TEST_CASE_FIXTURE(ConnectingFixture,
+                  "a request that is cancelled or expires while it reconnects is not sent") {
   send_request(1);
-  fail_locally();
+  fail_connect_locally();
   handle(dispatch::RequestCancelled{dispatch::SessionId{1}, 1});
   advance(1s);
-  CHECK(sends() == 1);
+  CHECK(send_count() == 1);
   CHECK(dispatcher.open_requests() == 0);
   send_request(2, 0, 200ms);
-  fail_locally();
+  fail_connect_locally();
   advance(1s);
   CHECK(replies_to(2).size() == 1);
 }
 
-TEST_CASE_FIXTURE(Connecting, "an engine that drains while an attempt reconnects gets nothing") {
+TEST_CASE_FIXTURE(ConnectingFixture,
+                  "an engine that starts draining while an attempt reconnects does not receive it") {
   send_request(1);
-  fail_locally();
+  fail_connect_locally();
   update_engine_list(R"({"uid":"e1","az":"z","model":"m","state":"draining"})");
   advance(1s);
-  CHECK(sends() == 1);
+  CHECK(send_count() == 1);
 }
 
-// A request may be queued in the decision module for seconds. Its client closes the connection meanwhile, and
-// the event of that is not handled yet: no engine may get work for nobody.
+// A request may be queued in the decision module for seconds. If its client disconnects meanwhile and that
+// event is not handled yet, the engine would run a request that nobody waits for.
 TEST_CASE_FIXTURE(
-    Connecting,
-    "what is queued is not sent once its client has closed, before the event of that is handled") {
+    ConnectingFixture,
+    "a queued request is not sent once its client has disconnected, even before that event is handled") {
   send_request(1);
-  respond(write_last_attempt(), ResponseType::overloaded);  // it waits before its retry
+  respond(write_last_attempt(), ResponseType::overloaded);  // is queued for a retry
   disconnected_sessions.insert(dispatch::SessionId{1});
   advance(3s);
-  CHECK(sends() == 1);
+  CHECK(send_count() == 1);
   CHECK(dispatcher.open_requests() == 0);
   CHECK(replies_to(1).empty());
   handle(dispatch::SessionClosed{dispatch::SessionId{1}});
 }
 
-TEST_CASE_FIXTURE(Connecting, "a stalled session is closed after its responses once nothing is open on it") {
+TEST_CASE_FIXTURE(ConnectingFixture,
+                  "a stalled session is closed after its responses, once it has no open request") {
   send_request(1);
   const auto first = write_last_attempt();
   handle(dispatch::SessionStalled{dispatch::SessionId{1}});
--- a/tests/node/manager_test.cpp
+++ b/tests/node/manager_test.cpp
@@ -1,3 +1,4 @@
+// The dispatcher on fake ports: pages, deadlines, disconnects, drains, retries and graceful shutdown.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -7,7 +8,8 @@
 namespace yokestream::test {
 namespace {
 
-TEST_CASE_FIXTURE(DispatcherFixture, "a result of several pages is fetched, released and sent in order") {
+TEST_CASE_FIXTURE(DispatcherFixture,
+                  "a result of several pages is fetched, sent to the client in page order, and released") {
   send_request(1);
   const Attempt o = write_last_attempt();
   respond(o, ResponseType::result, 3, 0, "a\t1\t\n");
@@ -21,8 +23,7 @@
   CHECK(budget.reserved() == 0);
 }
 
-TEST_CASE_FIXTURE(DispatcherFixture,
-                  "a lost page fails a request that is not idempotent, as it may have run") {
+TEST_CASE_FIXTURE(DispatcherFixture, "a lost page fails a non-idempotent request, because it may have run") {
   send_request(1, 1);
   const Attempt o = write_last_attempt();
   respond(o, ResponseType::result, 2, 0, "a\tb\tc\n");
@@ -33,8 +34,9 @@
   CHECK(attempts.size() == 1);
 }
 
-TEST_CASE_FIXTURE(DispatcherFixture,
-                  "at the deadline the attempt is cancelled, the client answered, a late response dropped") {
+TEST_CASE_FIXTURE(
+    DispatcherFixture,
+    "at the deadline the attempt is cancelled and the client answered; a late response is dropped") {
   send_request(1, 1, 1s);
   const Attempt o = write_last_attempt();
   advance(1s);
@@ -46,24 +48,24 @@
 }
 
 TEST_CASE_FIXTURE(DispatcherFixture,
-                  "a client that disconnects gets no answer, and what is in flight for it is cancelled") {
+                  "a client that disconnects gets no answer, and its requests in flight are cancelled") {
   send_request(1);
   const Attempt first = write_last_attempt();
   handle(dispatch::RequestCancelled{dispatch::SessionId{1}, 1});
   send_request(2);
   const Attempt second = write_last_attempt();
-  handle(dispatch::SessionClosed{dispatch::SessionId{1}, "broken off here"});
+  handle(dispatch::SessionClosed{dispatch::SessionId{1}, "closed by this side"});
   advance(5s);
   CHECK(count("cancel " + first.id) == 1);
   CHECK(count("cancel " + second.id) == 1);
   CHECK(replies_to(1).size() + replies_to(2).size() == 0);
-  // The cause is in the log, so that a lost answer can be traced.
+  // The log names the cause, so that a lost answer can be traced.
   CHECK(std::count(log_lines.begin(), log_lines.end(),
-                   "client connection closed: open_requests=1 cause=\"broken off here\"") == 1);
+                   "client connection closed: open_requests=1 cause=\"closed by this side\"") == 1);
 }
 
 TEST_CASE_FIXTURE(DispatcherFixture,
-                  "a request still queued when its engine drains is withdrawn, not written late") {
+                  "a request that is still queued when its engine starts draining is withdrawn") {
   send_request(1);
   update_engine_list(R"({"uid":"e1","endpoint":"127.0.0.1:7001","az":"z","model":"m","state":"draining"})");
   CHECK(attempts.empty());
@@ -72,7 +74,7 @@
 }
 
 TEST_CASE_FIXTURE(DispatcherFixture,
-                  "what is not idempotent fails after a reset, and is retried after a refused connection") {
+                  "a non-idempotent request is retried after a refused connection, and fails after a reset") {
   send_request(1, 1);
   handle(dispatch::EngineDisconnected{last_attempt().connection, "refused"});
   advance(1s);
@@ -85,8 +87,9 @@
   CHECK(replies_to(1)[0].kind == "failed");
 }
 
-TEST_CASE_FIXTURE(DispatcherFixture,
-                  "in a graceful shutdown it serves for a while and completes when nothing is owed") {
+TEST_CASE_FIXTURE(
+    DispatcherFixture,
+    "a graceful shutdown serves open requests, rejects later ones and completes when none is open") {
   send_request(1);
   const Attempt o = write_last_attempt();
   handle(dispatch::BeginShutdown{});
@@ -95,7 +98,8 @@
   advance(800ms);
   CHECK_FALSE(dispatcher.shutdown_complete(now));
   respond(o, ResponseType::result, 1, 0, "a\tb\tc\n");
-  CHECK_FALSE(dispatcher.shutdown_complete(now));  // its client may still ask on this connection
+  // The connection is still open, and its client may send another request.
+  CHECK_FALSE(dispatcher.shutdown_complete(now));
   send_request(2);
   CHECK(replies_to(2)[0].kind == "refused");
   advance(200ms);
@@ -106,10 +110,10 @@
 }
 
 TEST_CASE_FIXTURE(DispatcherFixture,
-                  "a flooding client is closed once nothing of it is on the way, not before") {
-  sessions_with_unread_data.insert(
-      dispatch::SessionId(1));  // its next request is read, or waits in the inbox
-  for (dispatch::CallId call = 1; call <= 70; ++call) send_request(call, 0, 0s);  // each late: failed at once
+                  "a flooding client is disconnected only when none of its data is waiting to be handled") {
+  sessions_with_unread_data.insert(dispatch::SessionId(1));  // its next request is not handled yet
+  // Each request is past its deadline and fails at once.
+  for (dispatch::CallId call = 1; call <= 70; ++call) send_request(call, 0, 0s);
   CHECK(count("close 1") == 0);
   sessions_with_unread_data.clear();
   send_request(71, 0, 0s);
@@ -118,7 +122,7 @@
 }
 
 TEST_CASE_FIXTURE(DispatcherFixture,
-                  "a client whose first request no engine can run fails at once, without a retry") {
+                  "requests of a client are retried only once one of them has been served") {
   send_request(1);
   respond(write_last_attempt(), ResponseType::failed);
   REQUIRE(replies_to(1).size() == 1);
@@ -136,7 +140,7 @@
   CHECK(count("send 0000000000000004") == 2);
 }
 
-TEST_CASE_FIXTURE(DispatcherFixture, "a request id in use is not accepted again from any client") {
+TEST_CASE_FIXTURE(DispatcherFixture, "a request id that is in use is rejected, whichever client sends it") {
   send_request(1);
   send_request(1, 0, 4s, 1);
   CHECK(count("close 1") == 1);
@@ -145,8 +149,9 @@
   CHECK(replies_to(1, 2)[0].kind == "failed");
 }
 
-TEST_CASE_FIXTURE(DispatcherFixture,
-                  "corrupt rows are never sent: the connection is closed, and the request is retried") {
+TEST_CASE_FIXTURE(
+    DispatcherFixture,
+    "corrupt rows are not sent to the client: the connection is closed and the request retried") {
   for (const std::string rows : {"a\tb\n", "a\tb\tc", "a\tb\tc\n\n", "a\t\x01\tc\n"}) {
     DispatcherFixture f;
     f.send_request(1);
@@ -159,9 +164,8 @@
   }
 }
 
-TEST_CASE_FIXTURE(
-    DispatcherFixture,
-    "each attempt has a connection of its own, and a silent connection is pinged, then closed") {
+TEST_CASE_FIXTURE(DispatcherFixture,
+                  "each attempt has its own connection; a silent connection is pinged, then closed") {
   send_request(1, 1);
   const Attempt first = write_last_attempt();
   send_request(2, 1);
@@ -177,7 +181,7 @@
   CHECK(replies_to(2)[0].kind == "failed");
 }
 
-TEST_CASE_FIXTURE(DispatcherFixture, "in a graceful shutdown whatever is open is answered by the deadline") {
+TEST_CASE_FIXTURE(DispatcherFixture, "a graceful shutdown answers all open requests by its deadline") {
   handle(dispatch::BeginShutdown{});
   send_request(1);
   write_last_attempt();
--- a/tests/node/sessions_test.cpp
+++ b/tests/node/sessions_test.cpp
@@ -1,4 +1,4 @@
-// Client connections: who is closed, and when.
+// Which client connections are closed, and when.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 namespace {
 
 TEST_CASE_FIXTURE(DispatcherFixture,
-                  "a client without a request is closed, one with something open or on its way is not") {
+                  "an idle client is disconnected, one with an open request or unread data is not") {
   const auto session = [](int n) { return dispatch::SessionId(n); };
   send_request(1);
   for (const int n : {2, 3}) handle(dispatch::SessionOpened{session(n)});
@@ -25,7 +25,7 @@
   CHECK(count("close 3") == 1);
 }
 
-TEST_CASE("as connections run short, one never served is closed first, one with open requests never") {
+TEST_CASE("near the connection limit clients without a result go first, those with open requests never") {
   dispatch::ClientSessions sessions({4, 32, 8, 2s, 6s, 1s, 3});
   const auto id = [](int n) { return dispatch::SessionId(n); };
   const Time at{1000s};
@@ -36,11 +36,12 @@
   sessions.remove(id(3));
   CHECK((sessions.add(at, id(5)) == id(4)));
   CHECK((sessions.add(at, id(6)) == id(5)));
-  sessions.cancel_close(id(4));  // something had come from it
+  sessions.cancel_close(id(4));  // data had arrived from it
   CHECK((sessions.add(at, id(7)) == id(4)));
 }
 
-TEST_CASE("a client answered often and never served floods; idle ones are closed without new ones too") {
+TEST_CASE(
+    "a client with many answers and no result is flooding; idle ones are closed without a new one too") {
   dispatch::ClientSessions sessions({4, 32, 8, 2s, 6s, 1s, 3});
   const auto id = [](int n) { return dispatch::SessionId(n); };
   const Time at{1000s};
@@ -50,7 +51,7 @@
   CHECK_FALSE(sessions.on_response_sent(at, id(2)));
   CHECK_FALSE(sessions.on_response_sent(at, id(2)));
   sessions.on_request_opened(at, id(2));
-  CHECK_FALSE(sessions.on_response_sent(at, id(2)));  // what is open is owed its answer first
+  CHECK_FALSE(sessions.on_response_sent(at, id(2)));  // its open request is answered first
   sessions.on_request_closed(at, id(2));
   CHECK(sessions.on_response_sent(at, id(2)));
   sessions.on_request_opened(at, id(3));
