--- a/src/admin/admin_listener.cpp
+++ b/src/admin/admin_listener.cpp
@@ -17,15 +17,14 @@
 using net::Duration;
 using net::Time;
 
-constexpr Duration kConnectionTimeout = std::chrono::milliseconds(2000);  // a caller itself waits 1 s
+constexpr Duration kConnectionTimeout = std::chrono::milliseconds(2000);  // callers give up after 1 s
 constexpr Duration kAcceptRetryDelay = std::chrono::milliseconds(20);     // while no descriptor is free
 constexpr std::size_t kReadBytes = 256;
-constexpr int kMaxReadsPerTurn = 8;  // of one connection; then the others have their turn
+constexpr int kMaxReadsPerTurn = 8;  // per connection, so that the others get a turn
 
 }  // namespace
 
-// One caller: its request line is read, then the answer is written and the connection closed. The poller's
-// thread only.
+// One caller: reads its request line, writes the answer and closes the connection. Poller thread only.
 class AdminListener::Connection : public net::Pollable {
  public:
   Connection(AdminListener& listener, net::Fd fd)
@@ -47,7 +46,7 @@
   }
 
  private:
-  // False: the caller closed the connection without a request.
+  // Returns false if the caller has closed the connection without a request.
   bool read_request() {
     std::array<char, kReadBytes> bytes;
     for (int reads = 0; reads < kMaxReadsPerTurn; ++reads) {
@@ -86,8 +85,9 @@
   Time next_due() const override { return retry_at_; }
   void on_closed() override {}
 
-  // Failure: no descriptor is free. Symptom: accept() fails at once, again and again, on a spinning thread.
-  // Guard: it is tried again after a delay; who waits is accepted then.
+  // Failure: no descriptor is free. Symptom: accept() fails at once and repeatedly, and the thread spins.
+  // Guard:
+  // accept() is retried after a delay; connections in the backlog are accepted then.
   PollResult on_ready(Time now, bool) override {
     retry_at_ = Time::max();
     for (std::size_t attempts = 0; attempts < kMaxConnections; ++attempts) {
@@ -101,7 +101,7 @@
         return PollResult::wait_until_due;
       }
     }
-    return PollResult::wait_readable;  // the rest after the other connections have had their turn
+    return PollResult::wait_readable;  // the rest is accepted after the other connections had a turn
   }
 
  private:
@@ -123,8 +123,8 @@
 
 config::Endpoint AdminListener::endpoint() const { return net::local_endpoint(acceptor_->fd()); }
 
-// Failure: many callers connect and send nothing. Symptom: a caller with a request waits for their time
-// limits. Guard: at the bound the oldest unfinished connection is aborted, so a new one is always accepted.
+// Failure: many callers connect and send nothing. Symptom: a caller with a request waits until they time out.
+// Guard: at the limit the oldest unfinished connection is aborted, so a new one is always accepted.
 void AdminListener::add_connection(net::Fd fd) {
   if (connections_.size() >= kMaxConnections) {
     connections_.front()->abort();
@@ -138,7 +138,7 @@
   std::erase_if(connections_, [&](const auto& open) { return open.get() == connection; });
 }
 
-// The texts of failures are read by the platform's staff: part of the wire.
+// The failure texts are part of the wire protocol: the platform's staff reads them.
 std::string AdminListener::answer_readyz() {
   const ServingState state = state_;
   if (drain_requested_ || state == ServingState::draining)
--- a/src/admin/admin_listener.h
+++ b/src/admin/admin_listener.h
@@ -1,11 +1,9 @@
-// The admin listener: a further address on which operators and the platform's front end query and control
-// this process.
-//
-// One thread of its own reads all connections and answers from what the dispatcher's thread has published, so
-// that no caller waits for a busy dispatcher, and the dispatcher never for a caller. The words `evacuate` and
-// `activate` of the wire start and end draining: they set a flag that the dispatcher's loop applies.
-//
-// Bounds: kMaxConnections at once (a new one replaces the oldest), each with a time limit and one line of
+// The admin listener: a second address on which operators and the platform's front end query and control this
+// process.
+// A dedicated thread reads all connections and answers from the state that the dispatcher thread has
+// published, so callers and the dispatcher never wait for each other. The wire commands `evacuate` and
+// `activate` start and end draining: they set a flag that the dispatcher loop applies. Limits: at most
+// kMaxConnections at once (a new one replaces the oldest), each with a timeout and one request line of
 // bounded length.
 //
 // Threads: publish() and drain_requested() may be called by any thread.
@@ -24,26 +22,27 @@
 
 namespace yokestream::admin {
 
-// What the dispatcher's thread publishes about this process.
+// The state of this process, as published by the dispatcher thread.
 enum class ServingState { starting, ready, draining, shutting_down };
 
 class AdminListener {
  public:
   static constexpr std::size_t kMaxConnections = 16;
-  // With its listening socket, its poller's two and a connection that is being accepted.
+  // The connections, the listening socket, two descriptors of the poller and a connection being accepted.
   static constexpr std::size_t kMaxDescriptors = kMaxConnections + 4;
 
-  // Listens from now on; throws std::system_error. `metrics` outlives this. `on_first_ready`: called once, by
+  // Starts to listen. Throws std::system_error. `metrics` must outlive this object. `on_first_ready` is
+  // called once, on
   // this listener's thread, before the first `readyz` is answered with success.
   AdminListener(const config::Endpoint& endpoint, const figures::Figures& metrics,
                 std::function<void()> on_first_ready);
-  ~AdminListener();  // closes all connections; joins
+  ~AdminListener();  // closes all connections and joins the thread
   AdminListener(const AdminListener&) = delete;
   AdminListener& operator=(const AdminListener&) = delete;
 
   [[nodiscard]] config::Endpoint endpoint() const;
   void publish(ServingState state) { state_ = state; }
-  // Whether the operators' last request was to drain.
+  // True if the last request of the operators was to drain.
   [[nodiscard]] bool drain_requested() const { return drain_requested_; }
 
  private:
@@ -57,13 +56,13 @@
 
   const figures::Figures& metrics_;
   const std::function<void()> on_first_ready_;
-  std::atomic<ServingState> state_{ServingState::starting};  // written by the dispatcher's thread
-  std::atomic<bool> drain_requested_{false};                 // written by the poller's thread
-  // The poller's thread only.
+  std::atomic<ServingState> state_{ServingState::starting};  // written by the dispatcher thread
+  std::atomic<bool> drain_requested_{false};                 // written by the poller thread
+  // Poller thread only.
   bool has_been_ready_ = false;
   std::deque<std::shared_ptr<Connection>> connections_;  // oldest first
-  std::shared_ptr<Acceptor> acceptor_;                   // set once, before the poller's thread starts
-  net::Poller poller_;                                   // last: its thread uses the rest
+  std::shared_ptr<Acceptor> acceptor_;                   // set once, before the poller thread starts
+  net::Poller poller_;                                   // declared last: its thread uses the other members
 };
 
 }  // namespace yokestream::admin
--- a/src/discovery/discovery_watcher.cpp
+++ b/src/discovery/discovery_watcher.cpp
@@ -13,14 +13,16 @@
 using std::chrono::milliseconds;
 
 constexpr std::size_t kReadBytes = 8 * 1024;
-constexpr const char* kPath = "/v1/events";
-// An event counts as known to us 7 s after the feed has it, so a connection that does not even bring the
-// comment of each second is closed long before. A new connection may stand in a queue of the feed: its first
-// byte is waited for longer each time, as reconnecting would only put it at the end of that queue again.
+constexpr const char* kEventsPath = "/v1/events";
+// The manager is expected to know an event 7 s after it appears on the feed. The feed sends a comment every
+// second, so a connection that stays silent is closed well before that limit. A new connection may wait in a
+// queue of the feed. Its first byte is awaited longer on each attempt, because a reconnect would go to the
+// end of that queue.
 constexpr Duration kSilenceTimeout = milliseconds(2200);
 constexpr Duration kMaxFirstByteTimeout = milliseconds(5000);
 constexpr Duration kConnectTimeout = milliseconds(1000);
-// Between two connections, with a jitter of half of it: managers that lost the feed at once reconnect apart.
+// Mean delay between two connections. It is jittered by half in either direction, so that managers that lost
+// the feed at the same time do not reconnect together.
 constexpr Duration kBackoff = milliseconds(100);
 
 }  // namespace
@@ -59,7 +61,7 @@
   return kBackoff / 2 + kBackoff * static_cast<int>(random_state_ >> 33 & 1023) / 1024;
 }
 
-// Cut short by the end of this watcher, or by another address.
+// Returns early if the watcher is destroyed or the address changes.
 void DiscoveryWatcher::back_off(const config::Endpoint& feed) {
   const Time until = net::now() + next_backoff();
   std::unique_lock lock(mutex_);
@@ -80,7 +82,7 @@
     }
     try {
       const auto end = watch_once(feed, *socket);
-      first_byte_timeout_ = end == ConnectionEnd::without_a_byte
+      first_byte_timeout_ = end == ConnectionEnd::no_bytes_received
                                 ? std::min(2 * first_byte_timeout_, kMaxFirstByteTimeout)
                                 : kSilenceTimeout;
     } catch (const std::exception& error) {
@@ -96,13 +98,13 @@
     log_.write("control feed connection failed: cause=\"" + failure.cause + "\"");
     return false;
   }
-  const std::string subscription = protocol::encode_subscription(to_string(feed), kPath, last_event_);
+  const std::string subscription = protocol::encode_subscription(to_string(feed), kEventsPath, last_event_);
   return socket.write(subscription) == net::Socket::WriteResult::all;
 }
 
 // Failure: an event is missing on a connection. Symptom: the endpoint list stays wrong until a restart.
-// Guard: a gap behind the connection's first new event is reported; the caller reconnects and asks for it
-// again.
+// Guard: a gap after the connection's first new event is reported; the caller reconnects and requests the
+// missing event.
 DiscoveryWatcher::EventResult DiscoveryWatcher::post_if_new(const protocol::SseEvent& event,
                                                             bool gap_allowed) {
   config::MembersEvent members = config::decode_members(event.data);
@@ -120,11 +122,11 @@
 
 DiscoveryWatcher::ConnectionEnd DiscoveryWatcher::watch_once(const config::Endpoint& feed,
                                                              net::Socket& socket) {
-  if (!subscribe(feed, socket)) return ConnectionEnd::otherwise;
+  if (!subscribe(feed, socket)) return ConnectionEnd::other;
   protocol::SseReader reader;
   std::array<char, kReadBytes> bytes;
   bool received_byte = false;
-  bool gap_allowed = true;  // until the connection's first new event
+  bool gap_allowed = true;  // only before the connection's first new event
   while (true) {
     const Duration timeout = received_byte ? kSilenceTimeout : first_byte_timeout_;
     const std::size_t size = socket.read_until(bytes.data(), bytes.size(), net::now() + timeout);
@@ -133,13 +135,13 @@
     reader.feed({bytes.data(), size});
     while (const auto event = reader.next()) {
       const auto result = post_if_new(*event, gap_allowed);
-      if (result == EventResult::gap) return ConnectionEnd::otherwise;
+      if (result == EventResult::gap) return ConnectionEnd::other;
       if (result == EventResult::posted) gap_allowed = false;
     }
     if (reader.ended()) break;
   }
   log_.write("control feed connection ended or silent: resume_after_event=" + std::to_string(last_event_));
-  return received_byte ? ConnectionEnd::otherwise : ConnectionEnd::without_a_byte;
+  return received_byte ? ConnectionEnd::other : ConnectionEnd::no_bytes_received;
 }
 
 }  // namespace yokestream::discovery
--- a/src/discovery/discovery_watcher.h
+++ b/src/discovery/discovery_watcher.h
@@ -1,9 +1,7 @@
-// Watches the control feed for changes of the endpoint list, over as many connections as that takes, and
-// moves to another address when the configuration names one.
-//
-// One thread, which alone connects, reads and posts: events reach the dispatcher in the order of their
-// numbers and none twice, however quickly addresses change. Memory: one incomplete event, which the reader
-// bounds. One descriptor.
+// Watches the control feed for changes of the endpoint list. Reconnects when a connection ends, and switches
+// to another address when the configuration changes it. A single thread connects, reads and posts, so events
+// reach the dispatcher in the order of their numbers and never twice, however quickly the address changes.
+// Memory: one incomplete event, whose size the reader bounds. Uses one descriptor.
 #pragma once
 
 #include <condition_variable>
@@ -20,19 +18,20 @@
 
 class DiscoveryWatcher {
  public:
-  // Starts with the event after `last_event`. `seed`: for the jitter of its backoff. Throws
+  // Requests the events after `last_event`. `seed` is for the jitter of the backoff. Throws
   // std::system_error.
   DiscoveryWatcher(const std::optional<config::Endpoint>& feed, std::uint64_t last_event, std::uint64_t seed,
                    net::DispatcherQueue& events, dispatch::Log& log);
-  ~DiscoveryWatcher();  // aborts the connection; joins
+  ~DiscoveryWatcher();  // aborts the connection and joins the thread
   DiscoveryWatcher(const DiscoveryWatcher&) = delete;
   DiscoveryWatcher& operator=(const DiscoveryWatcher&) = delete;
 
-  // Any thread; never blocks. From now on this address; nullopt: there is no feed.
+  // Switches to another address; nullopt means that there is no feed. May be called by any thread and never
+  // blocks.
   void watch(const std::optional<config::Endpoint>& feed);
 
  private:
-  enum class ConnectionEnd { without_a_byte, otherwise };
+  enum class ConnectionEnd { no_bytes_received, other };
   enum class EventResult { known_already, posted, gap };
 
   void run();
@@ -42,19 +41,20 @@
   void back_off(const config::Endpoint& feed);
   net::Duration next_backoff();
 
-  // thread_ only.
+  // Used by thread_ only.
   std::uint64_t last_event_;
   std::uint64_t random_state_;
   net::Duration first_byte_timeout_;
   net::DispatcherQueue& events_;
   dispatch::Log& log_;
 
-  std::mutex mutex_;  // guards the next three
+  std::mutex mutex_;  // guards the next three members
   std::optional<config::Endpoint> feed_;
   bool stopping_ = false;
-  std::unique_ptr<net::Socket> socket_;  // replaced by thread_ for each connection; others only abort it
-  std::condition_variable changed_;      // feed_ or stopping_
-  net::Thread thread_;                   // last: it uses the rest
+  std::unique_ptr<net::Socket>
+      socket_;                       // replaced by thread_ for each connection; other threads only abort it
+  std::condition_variable changed_;  // signals a change of feed_ or stopping_
+  net::Thread thread_;               // declared last: it uses the other members
 };
 
 }  // namespace yokestream::discovery
--- a/src/upgrade/process_group.cpp
+++ b/src/upgrade/process_group.cpp
@@ -9,8 +9,8 @@
 namespace yokestream::upgrade {
 namespace {
 
-// The file: a byte a slot locked while its process is alive, a byte a slot locked while it accepts clients,
-// then a ResourceUsage a slot.
+// File layout: one byte per slot, locked while the process of the slot is alive; one byte per slot, locked
+// while that process accepts clients; one ResourceUsage per slot.
 constexpr const char* kFileName = "/yokestream-processes";
 
 int alive_byte(int slot) { return slot; }
@@ -30,8 +30,8 @@
 
 }  // namespace
 
-// Open file description locks: a lock of the process would be released when any descriptor of the file
-// closes.
+// Uses open file description locks, because a lock owned by the process would be released as soon as any of
+// its descriptors of the file is closed.
 bool ProcessGroup::set_lock(int byte, short kind) {
   struct flock request = byte_lock(byte, kind);
   return ::fcntl(file_.get(), F_OFD_SETLK, &request) == 0;
@@ -49,7 +49,7 @@
   }
   if (!file_ || slot_ == kMaxProcesses)
     throw std::system_error(errno, std::generic_category(), "cannot join the process group in " + folder);
-  publish_usage({});  // what an earlier process of this slot left is not ours
+  publish_usage({});  // overwrites the record of the slot's previous process
 }
 
 void ProcessGroup::announce_serving() { set_lock(serving_byte(slot_), F_WRLCK); }
@@ -59,7 +59,7 @@
   [[maybe_unused]] const auto written = ::pwrite(file_.get(), &own, sizeof own, usage_offset(slot_));
 }
 
-// The record of a dead process does not count: its lock is gone.
+// Skips the records of dead processes: the kernel has released their locks.
 PeerUsage ProcessGroup::peer_usage() const {
   PeerUsage sum;
   for (int slot = 0; slot < kMaxProcesses; ++slot) {
--- a/src/upgrade/snapshot_handover.cpp
+++ b/src/upgrade/snapshot_handover.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr const char* kFileName = "/yokestream-learnt";
-// Weights of an hour ago are still better than none; engines have been replaced by then.
+// Weights that are up to an hour old are still better than none; after that, the engines have been replaced.
 constexpr net::Duration kMaxSnapshotAge = std::chrono::hours(1);
 
 bool write_all(const net::Fd& file, std::string_view bytes) {
@@ -28,8 +28,8 @@
   return true;
 }
 
-// nullopt: there is no file, or it cannot be read to its end. A file that is too long is returned truncated
-// just above the limit, which the decoder rejects.
+// Returns nullopt if the file does not exist or cannot be read completely. A file that is too long is
+// truncated to one byte above the limit, which the decoder rejects.
 std::optional<std::string> read_all(const std::string& path) {
   const net::Fd file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
   struct stat status {};
@@ -48,7 +48,7 @@
   return bytes;
 }
 
-// Best effort: the new file is in place, and only a crash of the machine could undo that.
+// Best effort: the rename is already visible, and only a crash of the machine could undo it.
 void sync_folder(const std::string& folder) {
   const net::Fd file(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   if (file) ::fsync(file.get());
@@ -63,7 +63,8 @@
   if (!bytes) return std::nullopt;
   auto decoded = snapshot::decode(*bytes, names, net::now());
   if (const auto* error = std::get_if<snapshot::DecodeError>(&decoded)) {
-    log.write("what another process learnt is not taken over: " + std::string(snapshot::to_string(*error)));
+    log.write("learned state of another process rejected: cause=\"" +
+              std::string(snapshot::to_string(*error)) + "\"");
     return std::nullopt;
   }
   auto& restored = std::get<snapshot::RestoredState>(decoded);
@@ -93,9 +94,9 @@
   replace_file(snapshot::encode(std::move(state), names_, net::now()));
 }
 
-// Failure: a write fails or the process is killed half way. Symptom: the successor reads a truncated file.
-// Guard: the new file is complete and synced before it is renamed over the old one; a reader finds either. A
-// file that cannot be written is removed, as the next offer follows within a second.
+// Failure: a write fails or the process is killed during it. Symptom: the successor reads a truncated file.
+// Guard: the new file is complete and synced before it is renamed over the old one, so a reader finds one or
+// the other. A file that could not be written is removed; the next offer follows within a second.
 void SnapshotHandover::replace_file(const std::string& bytes) const {
   bool written = false;
   {
--- a/src/upgrade/snapshot_handover.h
+++ b/src/upgrade/snapshot_handover.h
@@ -1,10 +1,8 @@
-// The file by which a process passes its learned state on to its successor: `yokestream-learnt` in the folder
-// that both share.
-//
-// Each version is written to a file of its own and then renamed over the current one, on a thread of its own,
-// so that a slow disk delays nobody; an offer made while another is waiting is dropped. A missing file is
-// normal; one that cannot be decoded is logged in one line and ignored. Memory: one copy of the state and its
-// bytes.
+// Passes the learned state of a process on to its successor through the file `yokestream-learnt` in their
+// shared folder. A dedicated thread writes each snapshot to a temporary file and renames it over the current
+// one, so a slow disk does not delay the caller. An offer made while another one is queued is dropped. A
+// missing file is normal; a file that cannot be decoded is logged and ignored. Memory: one copy of the state
+// and its encoded bytes.
 //
 // Threads: any thread may call offer().
 #pragma once
@@ -22,18 +20,20 @@
 
 class SnapshotHandover {
  public:
-  // What a predecessor left in `folder`, if it decodes and is not older than an hour.
+  // Returns the state that a predecessor left in `folder`, if it can be decoded and is at most an hour old.
   static std::optional<snapshot::RestoredState> load(const std::string& folder,
                                                      const config::RealSettings& names, dispatch::Log& log);
 
-  // `slot`: of this process in its group; names the file that it writes to. `names` outlives this.
+  // `slot` is the slot of this process in its group; the name of the temporary file contains it. `names` must
+  // outlive
+  // this object.
   SnapshotHandover(const std::string& folder, int slot, const config::RealSettings& names);
-  ~SnapshotHandover();  // drops what waits to be written; joins
+  ~SnapshotHandover();  // drops a queued offer and joins the thread
   SnapshotHandover(const SnapshotHandover&) = delete;
   SnapshotHandover& operator=(const SnapshotHandover&) = delete;
 
   void offer(policy::LearnedState state);            // never blocks
-  void write_now(policy::LearnedState state) const;  // on the caller's thread; returns once it is written
+  void write_now(policy::LearnedState state) const;  // writes on the calling thread
 
  private:
   struct Offer {
@@ -46,8 +46,8 @@
   const std::string path_;
   const std::string temporary_path_;
   const config::RealSettings& names_;
-  net::BoundedWorkQueue<Offer> offers_;  // any thread adds, thread_ removes
-  net::Thread thread_;                   // last: it uses the rest
+  net::BoundedWorkQueue<Offer> offers_;  // pushed by any thread, popped by thread_
+  net::Thread thread_;                   // declared last: it uses the other members
 };
 
 }  // namespace yokestream::upgrade
--- a/src/upgrade/upgrade_coordinator.cpp
+++ b/src/upgrade/upgrade_coordinator.cpp
@@ -10,9 +10,9 @@
 using net::Time;
 using std::chrono::milliseconds;
 
-// With a successor, the platform kills this process after the longest deadline, of which it counts at most so
-// much, and a fixed delay.
-constexpr Duration kMaxDeadlineCounted = std::chrono::seconds(5);
+// If there is a successor, the platform kills this process after the longest deadline, capped at
+// kMaxCountedDeadline, plus kKillDelay.
+constexpr Duration kMaxCountedDeadline = std::chrono::seconds(5);
 constexpr Duration kKillDelay = milliseconds(700);
 constexpr Duration kTickInterval = milliseconds(100);
 constexpr Duration kSnapshotInterval = milliseconds(1000);
@@ -30,7 +30,7 @@
 dispatch::BeginShutdown shutdown_event(const config::RealSettings& settings, bool has_successor) {
   dispatch::BeginShutdown event;
   event.has_successor = has_successor;
-  event.max_duration = std::min(settings.longest_deadline(), kMaxDeadlineCounted) + kKillDelay;
+  event.max_duration = std::min(settings.longest_deadline(), kMaxCountedDeadline) + kKillDelay;
   return event;
 }
 
@@ -59,7 +59,7 @@
   if (net::now() >= next_snapshot_) offer_snapshot();
 }
 
-// Connections and memory that peers use are not given out here.
+// Reduces the local limits by the connections and memory that the peers use.
 void UpgradeCoordinator::share_limits() {
   group_.publish_usage({session_slots_.reserved(), memory_budget_.reserved()});
   const PeerUsage peers = group_.peer_usage();
@@ -68,18 +68,19 @@
   dispatcher_.set_peer_process_count(peers.serving_processes);
 }
 
-// A successor may appear after this process was told to end; the predecessor may be gone before this process
-// was asked whether it is ready.
+// Handles two late changes: a successor may appear after this process began to shut down, and the predecessor
+// may exit before this process has been asked whether it is ready.
 void UpgradeCoordinator::follow_peers() {
-  const bool peer_serves = group_.has_successor();
+  const bool peer_accepts_clients = group_.has_successor();
   const auto& lifecycle = dispatcher_.lifecycle();
-  if (lifecycle.is_shutting_down() && peer_serves && lifecycle.accepts_connections(net::now()))
+  if (lifecycle.is_shutting_down() && peer_accepts_clients && lifecycle.accepts_connections(net::now()))
     dispatcher_.handle(net::now(), shutdown_event(settings_, group_.has_successor()));
-  if (!lifecycle.is_shutting_down() && !peer_serves && !std::exchange(predecessor_gone_, true))
+  if (!lifecycle.is_shutting_down() && !peer_accepts_clients && !std::exchange(predecessor_gone_, true))
     begin_serving();
 }
 
-// By the process that serves: a new one that has served nobody, and one that shuts down, know less.
+// Only a process that is serving writes snapshots: one that has not served yet, or that is shutting down, has
+// learned less.
 void UpgradeCoordinator::offer_snapshot() {
   next_snapshot_ = net::now() + kSnapshotInterval;
   if (gate_.is_open() && !dispatcher_.lifecycle().is_shutting_down())
--- a/tests/node/net_client_test.cpp
+++ b/tests/node/net_client_test.cpp
@@ -1,4 +1,4 @@
-// Client sessions: who reads them, what bounds them, when they may be closed.
+// Tests of net::ClientSession: which thread reads it, which limits apply, and when it may be closed.
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 
@@ -8,10 +8,9 @@
 namespace yokestream::test {
 namespace {
 
-// Found on the bench: on a machine out of threads such a client's connection was closed upon its open
-// requests.
-TEST_CASE(
-    "a busy client for whom no reader thread can start is read by the client poller and loses nothing") {
+// Guards against closing a client that has open requests because no reader thread can be started for it. This
+// happened on a machine that was out of threads.
+TEST_CASE("a busy client is read by the client poller and loses nothing if no reader thread can start") {
   SessionFixture fixture(0);
   TestListener listening;
   TestPeer client(listening.endpoint);
@@ -30,45 +29,47 @@
   }
 }
 
-TEST_CASE("a client with a message unread, half read or unhandled is not closed as idle") {
+TEST_CASE("a client with an unread, incomplete or unhandled message is not closed as idle") {
   SessionFixture fixture(1);
   TestListener listening;
   TestPeer client(listening.endpoint);
   Fd fd(::accept(listening.fd.get(), nullptr, nullptr));
-  client.send(encode_request(1, "0123456789abcdef", "select 1") + "\x94");  // and the start of a next one
+  client.send(encode_request(1, "0123456789abcdef", "select 1") +
+              "\x94");  // and the start of another request
   char first = 0;
   REQUIRE(::recv(fd.get(), &first, 1, MSG_PEEK) == 1);
   const auto session = fixture.session(std::move(fd));
-  CHECK_FALSE(session->abort_if_idle());  // unread: nobody reads yet
+  CHECK_FALSE(session->abort_if_idle());  // unread: no read has been made yet
   CHECK((session->on_ready(net::now(), true) == net::Pollable::PollResult::wait_readable));
   CHECK(fixture.event_queue.drain_until(Time::max()).size() == 1);
-  CHECK_FALSE(session->abort_if_idle());  // handed in, and not taken yet
+  CHECK_FALSE(session->abort_if_idle());  // passed to the dispatcher, which has not handled it
   session->release_message_credit();
-  CHECK_FALSE(session->abort_if_idle());        // half read
-  CHECK((session->next_due() != Time::max()));  // it has until then to be whole
-  // Stuck inside its message it is read no more, and what it has open is still answered.
+  CHECK_FALSE(session->abort_if_idle());        // incomplete
+  CHECK((session->next_due() != Time::max()));  // the time limit of the incomplete message
+  // After the time limit the client is no longer read, but its open request is still answered.
   CHECK((session->on_ready(session->next_due(), false) == net::Pollable::PollResult::wait_until_due));
-  const auto told = fixture.event_queue.drain_until(Time::max());
-  REQUIRE(told.size() == 1);
-  CHECK(std::holds_alternative<dispatch::SessionStalled>(std::get<dispatch::Event>(told[0])));
+  const auto events = fixture.event_queue.drain_until(Time::max());
+  REQUIRE(events.size() == 1);
+  CHECK(std::holds_alternative<dispatch::SessionStalled>(std::get<dispatch::Event>(events[0])));
   client.send(encode_request(2, "0123456789abcde0", "select 2"));
   CHECK((session->on_ready(session->next_due(), false) == net::Pollable::PollResult::wait_until_due));
   CHECK(fixture.event_queue.drain_until(net::now()).empty());
   session->send_result(1, {"row1", {}});
   CHECK(client.read_until("row1"));
   session->close_after_writes();
-  CHECK_FALSE(client.read_until("anything"));  // half closed: nothing follows
+  CHECK_FALSE(client.read_until("anything"));  // half closed: nothing more is sent
   CHECK((session->on_ready(net::now(), false) == net::Pollable::PollResult::wait_until_due));
   CHECK((session->on_ready(net::now() + 1s, false) ==
-         net::Pollable::PollResult::closed));  // though the client lingers
+         net::Pollable::PollResult::closed));  // although the client stays connected
 }
 
-// The connection was closed while its earlier requests were still open, so they found no answer.
-TEST_CASE("a client for whose next message there is no memory is read again once there is some") {
+// Guards against closing the connection when the memory budget is used up: open requests then got no
+// response.
+TEST_CASE("a client whose next message exceeds the free memory is read again once memory is free") {
   SessionFixture fixture(1);
   SocketPair pair;
   const auto session = fixture.session(Fd(::dup(pair.socket.descriptor())));
-  const auto read = [&] {  // the first byte has come, and with it all that was written at once
+  const auto read = [&] {  // waits for the first byte; all bytes of one write arrive together
     char first = 0;
     REQUIRE(::recv(pair.socket.descriptor(), &first, 1, MSG_PEEK) == 1);
     return session->on_ready(net::now(), true);
@@ -92,14 +93,14 @@
   Socket accepted(Fd(::accept(listening.fd.get(), nullptr, nullptr)));
   client.send("late");
   char bytes[16];
-  REQUIRE(::recv(accepted.descriptor(), bytes, 1, MSG_PEEK) == 1);  // it has come
+  REQUIRE(::recv(accepted.descriptor(), bytes, 1, MSG_PEEK) == 1);  // the bytes have arrived
   CHECK_FALSE(accepted.abort_if_nothing_unread([] { return true; }));
   accepted.abort();
   CHECK(accepted.try_read(bytes, sizeof bytes) == std::size_t{0});
 }
 
-// A writer thread of its own was started for it, and where none could be had the connection was closed.
-TEST_CASE("a client that is slow to read gets all its responses though no thread can start") {
+// Guards against closing the connection of a slow reader because no thread can be started to write to it.
+TEST_CASE("a client that reads slowly gets all its responses even if no thread can start") {
   exempt_from_faults = false;
   SessionFixture fixture(0);
   SocketPair pair;
--- a/tests/node/net_crossing_test.cpp
+++ b/tests/node/net_race_test.cpp
@@ -1,6 +1,6 @@
-// What crosses the end of something: a client's word and its request, a close and a byte, a reload and an
-// event. Each crossing is forced, by who looks when, by bytes held back, or by a peer that waits for what it
-// sees.
+// Races at the end of a request or a connection: a cancellation and its request, a close and an arriving
+// byte, a client that leaves and a connection that is being established. Each race is forced: by choosing
+// when a side reads, by delaying bytes, or by a peer that waits for what it observes.
 #include <doctest/doctest.h>
 #include <poll.h>
 #include <sys/socket.h>
@@ -11,69 +11,70 @@
 namespace yokestream::test {
 namespace {
 
-std::string give_up(int number) {
+std::string encode_cancel(int number) {
   return std::string("\x93\x02\xa6giveUp\x91", 10) + static_cast<char>(number);
 }
 
-std::string probe(int number) {
+std::string encode_probe(int number) {
   return std::string("\x94\x00", 2) + static_cast<char>(number) + std::string("\xa5probe\x91\x80", 8);
 }
 
-// Until the first byte has come, and with it all that was written at once.
+// Waits for the first byte; all bytes of one write arrive together.
 void wait_for_bytes(int descriptor) {
   char first = 0;
   REQUIRE(::recv(descriptor, &first, 1, MSG_PEEK) == 1);
 }
 
-// The peer's end of the connection, seen without fixture.
+// Waits until the peer has closed the connection, without reading from it.
 void wait_for_end(int descriptor) {
   pollfd peer{descriptor, POLLRDHUP, 0};
   while (::poll(&peer, 1, -1) < 1 || (peer.revents & (POLLRDHUP | POLLHUP)) == 0) {
   }
 }
 
-// One client whose bytes are read when the test says so: as if the process had stood still meanwhile.
-struct HeldClient {
+// A client that is only read when the test says so, as if the process had been suspended in between.
+struct PausedClient {
   SessionFixture fixture{0};
   TestListener listening;
   std::unique_ptr<TestPeer> client = std::make_unique<TestPeer>(listening.endpoint);
   Fd accepted{::accept(listening.fd.get(), nullptr, nullptr)};
   int descriptor = accepted.get();
   std::shared_ptr<net::ClientSession> session = fixture.session(std::move(accepted));
-  std::size_t handed_in() { return fixture.event_queue.drain_until(net::now()).size(); }
+  std::size_t drain_event_count() { return fixture.event_queue.drain_until(net::now()).size(); }
 };
 
-TEST_CASE_FIXTURE(HeldClient, "a request given up before it is read is handed to nobody, and others are") {
+TEST_CASE_FIXTURE(PausedClient, "a request cancelled before it is read is not dispatched, and others are") {
   client->send(encode_request(1, "0123456789abcde1", "select 1") +
-               encode_request(2, "0123456789abcde2", "select 2") + give_up(1));
+               encode_request(2, "0123456789abcde2", "select 2") + encode_cancel(1));
   wait_for_bytes(descriptor);
   CHECK((session->on_ready(net::now(), true) == net::Pollable::PollResult::wait_readable));
-  const auto told = fixture.event_queue.drain_until(net::now());
-  REQUIRE(told.size() == 1);
-  CHECK(std::get<dispatch::RequestReceived>(std::get<dispatch::Event>(told[0])).call == 2);
+  const auto events = fixture.event_queue.drain_until(net::now());
+  REQUIRE(events.size() == 1);
+  CHECK(std::get<dispatch::RequestReceived>(std::get<dispatch::Event>(events[0])).call == 2);
 }
 
-TEST_CASE_FIXTURE(HeldClient,
-                  "a request is handed to nobody once its client has closed, unread though it lay") {
+TEST_CASE_FIXTURE(PausedClient,
+                  "an unread request is not dispatched once its client has closed the connection") {
   client->send(encode_request(1, "0123456789abcde1", "select 1"));
   client.reset();
   wait_for_end(descriptor);
   CHECK((session->on_ready(net::now(), true) == net::Pollable::PollResult::closed));
-  CHECK(handed_in() == 0);
+  CHECK(drain_event_count() == 0);
 }
 
-TEST_CASE_FIXTURE(HeldClient, "the same where the client's connection is reset") {
+TEST_CASE_FIXTURE(PausedClient, "an unread request is not dispatched once its client's connection is reset") {
   client->send(encode_request(1, "0123456789abcde1", "select 1"));
-  const linger at_once{1, 0};
-  ::setsockopt(client->socket.descriptor(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+  const linger reset_on_close{1, 0};
+  ::setsockopt(client->socket.descriptor(), SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
   client.reset();
   wait_for_end(descriptor);
   CHECK((session->on_ready(net::now(), true) == net::Pollable::PollResult::closed));
-  CHECK(handed_in() == 0);
+  CHECK(drain_event_count() == 0);
 }
 
-TEST_CASE_FIXTURE(HeldClient, "who waits for a turn, and leaves, is not handed in when the turn comes") {
-  for (int i = 0; i < 8; ++i) {  // more than the core takes of one client at once
+TEST_CASE_FIXTURE(PausedClient,
+                  "messages that wait for credits are not dispatched if the client has left meanwhile") {
+  for (int i = 0; i < 8; ++i) {  // more messages than a client has credits
     std::string some;
     for (int n = 1; n <= 5; ++n)
       some += encode_request(5 * i + n, "0123456789abc" + std::to_string(100 + 5 * i + n), "x");
@@ -82,16 +83,17 @@
   wait_for_bytes(descriptor);
   while (session->on_ready(net::now(), true) != net::Pollable::PollResult::wait_until_due) {
   }
-  const auto taken = handed_in();
+  const auto event_count = drain_event_count();
   client.reset();
   wait_for_end(descriptor);
-  for (std::size_t i = 0; i < taken; ++i) session->release_message_credit();
+  for (std::size_t i = 0; i < event_count; ++i) session->release_message_credit();
   CHECK((session->on_ready(session->next_due(), false) == net::Pollable::PollResult::closed));
-  CHECK(handed_in() == 0);
+  CHECK(drain_event_count() == 0);
 }
 
-// The time that a client has left ran while nobody read it.
-TEST_CASE_FIXTURE(HeldClient, "bytes that came while a client was not read count from the last read") {
+// Guards against deadlines that start too late: the time of a request also runs while its client is not read.
+TEST_CASE_FIXTURE(PausedClient,
+                  "deadlines of requests that arrived while reading was paused count from the last read") {
   dispatch::Reservation rest;
   REQUIRE(fixture.budget.try_reserve(rest, (1 << 20) - 10));
   const std::string first = encode_request(1, "0123456789abcde1", "select 1");
@@ -102,16 +104,17 @@
   client->send(first.substr(40) + encode_request(2, "0123456789abcde2", "select 2"));
   wait_for_bytes(descriptor);
   rest = {};
-  while (net::now() < paused + 20ms) ::poll(nullptr, 0, 1);  // the wait is what is measured here
+  while (net::now() < paused + 20ms) ::poll(nullptr, 0, 1);  // the test is about this delay
   CHECK((session->on_ready(net::now(), false) == net::Pollable::PollResult::wait_readable));
-  const auto told = fixture.event_queue.drain_until(net::now());
-  REQUIRE(told.size() == 2);
-  for (const auto& event : told)
+  const auto events = fixture.event_queue.drain_until(net::now());
+  REQUIRE(events.size() == 2);
+  for (const auto& event : events)
     CHECK((std::get<dispatch::RequestReceived>(std::get<dispatch::Event>(event)).deadline <= paused + 4s));
 }
 
-TEST_CASE_FIXTURE(HeldClient,
-                  "a client whose reading has stopped and that reads nothing itself is closed in the end") {
+TEST_CASE_FIXTURE(
+    PausedClient,
+    "a client that is no longer read and does not read its responses is closed after a time limit") {
   client->send("\x05");
   wait_for_bytes(descriptor);
   const Time stopped = net::now();
@@ -119,13 +122,14 @@
   for (dispatch::CallId call = 1; call <= 200; ++call)
     session->send_result(call, {std::string(40'000, 'a'), {}});
   CHECK((session->on_ready(stopped + 10s, false) ==
-         net::Pollable::PollResult::wait_until_due));  // the core has not let it go yet
+         net::Pollable::PollResult::wait_until_due));  // the dispatcher has not closed it yet
   session->close_after_writes();
   CHECK((session->on_ready(stopped + 11s, false) == net::Pollable::PollResult::wait_until_due));
   CHECK((session->on_ready(stopped + 14s, false) == net::Pollable::PollResult::closed));
 }
 
-TEST_CASE_FIXTURE(HeldClient, "a session is not half closed while the core has not handled its message") {
+TEST_CASE_FIXTURE(PausedClient,
+                  "a session is not half closed while the dispatcher has not handled its message") {
   client->send(encode_request(1, "0123456789abcde1", "select 1"));
   wait_for_bytes(descriptor);
   CHECK((session->on_ready(net::now(), true) == net::Pollable::PollResult::wait_readable));
@@ -137,7 +141,8 @@
   CHECK_FALSE(client->read_until("anything"));
 }
 
-TEST_CASE("a byte that comes at the close resets no connection upon an answer that is still on its way") {
+TEST_CASE(
+    "a byte that arrives during the close does not reset the connection before the response is delivered") {
   const int small = 4096;
   TestListener listening;
   TestPeer peer(listening.endpoint);
@@ -145,24 +150,27 @@
   auto socket = std::make_unique<Socket>(Fd(::accept(listening.fd.get(), nullptr, nullptr)));
   const int some = 64 * 1024;
   setsockopt(socket->descriptor(), SOL_SOCKET, SO_SNDBUF, &some, sizeof some);
-  const auto taken = socket->try_write(std::string(1 << 20, 'a'));
-  REQUIRE(taken.value_or(0) > 8 * small);  // more than the peer has room for: some of it has not reached it
+  const auto accepted_size = socket->try_write(std::string(1 << 20, 'a'));
+  REQUIRE(accepted_size.value_or(0) >
+          8 * small);  // more than the receive buffer of the peer holds, so part of it is still undelivered
   socket->shutdown_write();
   peer.send("late");
   wait_for_bytes(socket->descriptor());
   char bytes[16];
-  CHECK_FALSE(socket->try_read(bytes, sizeof bytes).has_value());  // dropped, and no end yet
+  CHECK_FALSE(
+      socket->try_read(bytes, sizeof bytes).has_value());  // dropped; the end of the stream is not reached
   socket.reset();
   setsockopt(peer.socket.descriptor(), SOL_SOCKET, SO_RCVBUF, &some, sizeof some);
-  std::size_t came = 0;
-  char into[4096];
-  while (const auto size = peer.socket.read_until(into, sizeof into, Time::max())) came += size;
-  CHECK(came == *taken);
+  std::size_t received_size = 0;
+  char buffer[4096];
+  while (const auto size = peer.socket.read_until(buffer, sizeof buffer, Time::max())) received_size += size;
+  CHECK(received_size == *accepted_size);
 }
 
-// Its client lost what it had open.
-TEST_CASE_FIXTURE(OneRequestInFlight,
-                  "a client stuck inside a message has its open request answered, then it is closed") {
+// Guards against losing the response to an open request when its client stalls inside its next message.
+TEST_CASE_FIXTURE(
+    OneRequestInFlight,
+    "a client that stalls inside a message gets the response to its open request and is then closed") {
   client.send("\x94");
   while (running.log.count("incomplete message timed out") == 0) {  // the engine answers its health checks
     REQUIRE(link.read_until("alive"));
@@ -174,7 +182,7 @@
 }
 
 TEST_CASE_FIXTURE(OneRequestInFlight,
-                  "a client whose next bytes are no message has its open request answered all the same") {
+                  "a client that sends an invalid message still gets the response to its open request") {
   client.send("\x05");
   running.log.wait_for("client reading stopped");
   link.send("*4\r\n$16\r\n0123456789abcdef\r\n$6\r\nserved\r\n$7\r\ntotal=1\r\n$6\r\na\tb\tc\n\r\n");
@@ -182,42 +190,43 @@
   CHECK_FALSE(client.read_until("anything"));
 }
 
-// A port that takes connections only when it is told to: those that come meanwhile are not up.
-struct Reluctant : TestListener {
-  Reluctant() {
+// A listening socket whose backlog is full until the test closes it: further connections are not established.
+struct BackloggedListener : TestListener {
+  BackloggedListener() {
     ::listen(fd.get(), 0);
-    while (full.size() < 64) {
-      full.push_back(std::make_unique<Socket>());
+    while (backlog.size() < 64) {
+      backlog.push_back(std::make_unique<Socket>());
       net::ConnectFailure failure;
-      if (full.back()->start_connect(endpoint, &failure) == Socket::ConnectStatus::connected) continue;
-      pollfd up{full.back()->descriptor(), POLLOUT, 0};
-      if (::poll(&up, 1, 50) == 0) return;  // this one waits: the next ones will, too
+      if (backlog.back()->start_connect(endpoint, &failure) == Socket::ConnectStatus::connected) continue;
+      pollfd connection{backlog.back()->descriptor(), POLLOUT, 0};
+      if (::poll(&connection, 1, 50) == 0) return;  // the backlog is full
     }
   }
-  std::vector<std::unique_ptr<Socket>> full;
+  std::vector<std::unique_ptr<Socket>> backlog;
 };
 
-TEST_CASE("a client that leaves while its request waits for a connection: the engine never sees it") {
+TEST_CASE("the request of a client that leaves before the engine connection is established is never sent") {
   for (const bool may_cancel : {true, false}) {
     CAPTURE(may_cancel);
-    Reluctant engine;
+    BackloggedListener engine;
     config::Config config = config::decode_config(config_text("127.0.0.1:0", to_string(engine.endpoint)));
     config.settings.may_cancel = may_cancel;
     config.real.dial_time = 10s;
     TestLog log;
     net::Server server(config, log);
-    TestPeer stays(server.endpoint());
+    TestPeer staying_client(server.endpoint());
     {
-      TestPeer leaves(server.endpoint());
-      leaves.send(encode_request(1, "0123456789abcde1", "select 1") + probe(2));
-      REQUIRE(leaves.read_until("\xc3"));  // answered in order: the request waits for its connection
+      TestPeer leaving_client(server.endpoint());
+      leaving_client.send(encode_request(1, "0123456789abcde1", "select 1") + encode_probe(2));
+      REQUIRE(leaving_client.read_until(
+          "\xc3"));  // responses are in order, so the request is waiting for its connection
     }
     log.wait_for("client connection closed: open_requests=1 ");
-    engine.full.clear();
-    stays.send(encode_request(1, "0123456789abcde2", "select 2"));
+    engine.backlog.clear();
+    staying_client.send(encode_request(1, "0123456789abcde2", "select 2"));
     std::vector<std::unique_ptr<TestPeer>> links;
-    std::string seen;
-    while (seen.find("0123456789abcde2") == std::string::npos) {
+    std::string received;
+    while (received.find("0123456789abcde2") == std::string::npos) {
       std::vector<pollfd> all{{engine.fd.get(), POLLIN, 0}};
       for (const auto& link : links) all.push_back({link->socket.descriptor(), POLLIN, 0});
       ::poll(all.data(), all.size(), -1);
@@ -226,11 +235,11 @@
         if (!all[i + 1].revents) continue;
         const auto size = links[i]->socket.try_read(bytes, sizeof bytes);
         if (size == 0) links.erase(links.begin() + static_cast<long>(i));
-        seen.append(bytes, size.value_or(0));
+        received.append(bytes, size.value_or(0));
       }
       if (all[0].revents) links.emplace_back(new TestPeer(engine.accept()));
     }
-    CHECK(seen.find("0123456789abcde1") == std::string::npos);
+    CHECK(received.find("0123456789abcde1") == std::string::npos);
     server.begin_shutdown();
     server.wait();
   }
--- a/tests/node/net_random_test.cpp
+++ b/tests/node/net_random_test.cpp
@@ -1,4 +1,4 @@
-// Requests, connections and engines at random, on a system that falls short.
+// Random requests, connections and engine failures while the system is short of resources.
 #include <doctest/doctest.h>
 
 #include <cstdio>
@@ -8,10 +8,10 @@
 namespace yokestream::test {
 namespace {
 
-// Requests are taken, connections and engines' connections come and go, and of all that the system is asked
-// to start a part fails. Found by reading: a connection that could not be watched, or a slow one for whom no
-// writer could be had, lost its answers.
-TEST_CASE("each request taken has one whole answer, whatever the system has no room for") {
+// Client and engine connections come and go while some of the calls that start threads, open descriptors or
+// watch them fail. Guards against lost responses on a connection that could not be added to a poller, or on a
+// slow one for which no writer thread could be started.
+TEST_CASE("each accepted request gets one complete response, whichever resource is exhausted") {
   exempt_from_faults = true;
   for (std::uint32_t seed = 1; seed <= 8; ++seed) {
     CAPTURE(seed);
@@ -20,26 +20,26 @@
     RunningServer running(engine.endpoint());
     resource_failure_percent = 10 * (seed % 4);
     std::vector<std::unique_ptr<TestClient>> clients;
-    std::uint32_t asked = 0;
-    const auto ask = [&](TestClient& client) {
+    std::uint32_t sent_count = 0;
+    const auto send_next_request = [&](TestClient& client) {
       char id[17];
-      std::snprintf(id, sizeof id, "%08x%08x", seed, ++asked);
+      std::snprintf(id, sizeof id, "%08x%08x", seed, ++sent_count);
       client.send_request(id, steps.below(3000));
     };
     for (int i = 0; i < 400; ++i) {
       const auto step = steps.below(10);
       if (clients.empty() || (step == 0 && clients.size() < 12)) {
         clients.push_back(std::make_unique<TestClient>(running.server->endpoint()));
-        ask(*clients.back());
+        send_next_request(*clients.back());
       }
-      const auto which = steps.below(clients.size());
-      TestClient& client = *clients[which];
+      const auto client_index = steps.below(clients.size());
+      TestClient& client = *clients[client_index];
       if (step < 6 && client.last_call < 100) {
-        ask(client);
+        send_next_request(client);
       } else if (step < 9) {
         if (!client.open_calls.empty()) REQUIRE(client.receive_response());
-      } else if (steps.below(3) == 0) {  // it leaves, whatever is open
-        clients.erase(clients.begin() + static_cast<long>(which));
+      } else if (steps.below(3) == 0) {  // the client leaves, perhaps with open requests
+        clients.erase(clients.begin() + static_cast<long>(client_index));
       }
     }
     for (const auto& client : clients) {
--- a/tests/node/net_session_fixture.h
+++ b/tests/node/net_session_fixture.h
@@ -1,11 +1,11 @@
-// A client session without a server round it.
+// A client session without a server.
 #pragma once
 
 #include "net_test_peers.h"
 
 namespace yokestream::test {
 
-// What a client session stands in, without a server: who takes its messages, and who would read it.
+// Holds what a client session needs in place of a server: its event queue, its pollers and its reader pool.
 struct SessionFixture {
   explicit SessionFixture(std::size_t max_readers)
       : reader_pool{dispatch::Budget(max_readers), client_poller, slow_writer_poller} {}
--- a/tests/node/net_test.cpp
+++ b/tests/node/net_test.cpp
@@ -1,4 +1,4 @@
-// The drivers on loopback: everything waits for what must come, nothing for a time.
+// Tests of the server and its connections on loopback. They wait for expected events, never for a fixed time.
 #include <doctest/doctest.h>
 #include <signal.h>
 #include <sys/socket.h>
@@ -15,15 +15,16 @@
 namespace yokestream::test {
 namespace {
 
-TEST_CASE_FIXTURE(OneRequestInFlight,
-                  "a request goes to the engine and its rows come back; one the engines can't use does not") {
+TEST_CASE_FIXTURE(
+    OneRequestInFlight,
+    "a request is sent to the engine and its rows are returned; a statement that is not text is rejected") {
   link.send("*4\r\n$16\r\n0123456789abcdef\r\n$6\r\nserved\r\n$7\r\ntotal=1\r\n$6\r\na\tb\tc\n\r\n");
   CHECK(client.read_until("a\tb\tc\n"));
   client.send(encode_request(2, "0123456789abcde0", std::string("select\0", 7)));
   CHECK(client.read_until("no text"));
 }
 
-// Five requests of one client, each with the answer of an engine.
+// Sends five requests of one client, each answered by the engine.
 void serve_five() {
   TestListener engine;
   RunningServer running(engine.endpoint);
@@ -41,12 +42,14 @@
 }
 
 TEST_CASE(
-    "a client served twice gets a reader of its own, and is served on after that and once it was idle") {
+    "a client that is served repeatedly gets its own reader thread and is served further, also after it was "
+    "idle") {
   serve_five();
 }
 
-// Its reader took the end of such a wait for the end of the connection, and closed it on its open requests.
-TEST_CASE("a bounded wait that the kernel ends before its time ends no connection") {
+// Guards against a reader that takes the early end of a bounded wait for the end of the connection: it closed
+// the connection although requests were open.
+TEST_CASE("a bounded wait that the kernel ends early does not close the connection") {
   bounded_waits_end_early = true;
   serve_five();
   bounded_waits_end_early = false;
@@ -54,7 +57,7 @@
 
 auto threads() { return std::distance(std::filesystem::directory_iterator("/proc/self/task"), {}); }
 
-TEST_CASE("a crowd of silent clients costs no thread, and a usual client is served beside it") {
+TEST_CASE("many silent clients use no thread, and another client is served meanwhile") {
   TestListener engine;
   RunningServer running(engine.endpoint);
   TestPeer probe(running.server->endpoint());
@@ -70,20 +73,22 @@
   client.send(encode_request(1, "0123456789abcdef", "select 1"));
   TestPeer link = engine.accept();
   REQUIRE(link.read_until("select 1"));
-  CHECK(threads() <= before);  // the link costs none either
+  CHECK(threads() <= before);  // the engine connection uses none either
 }
 
-// Found on the bench: the core waited for the listener's thread, and what was open found no answer.
-TEST_CASE_FIXTURE(OneRequestInFlight,
-                  "a manager told to end answers what is open and ends, though nobody comes any more") {
+// Guards against a shutdown in which the dispatcher waits for the listener's thread: open requests got no
+// response.
+TEST_CASE_FIXTURE(
+    OneRequestInFlight,
+    "a manager that shuts down answers open requests and ends, even if no client connects any more") {
   running.server->begin_shutdown();
   CHECK(client.read_until("Shed"));
   running.server->wait();
 }
 
 TEST_CASE(
-    "engine connections cost no thread each, and the end of each is reported, also of one never connected") {
-  TestListener engine, gone;
+    "engine connections use no thread each, and the end of each is reported, even if it never connected") {
+  TestListener engine, closed_listener;
   net::DispatcherQueue event_queue(200);
   const std::vector<std::string> fields;
   figures::Figures figures({});
@@ -96,30 +101,30 @@
                                                             slow_writer_poller, figures));
     engine_poller.add(links.back());
   };
-  std::vector<std::unique_ptr<TestPeer>> ends;
+  std::vector<std::unique_ptr<TestPeer>> engine_sides;
   for (int i = 0; i < 40; ++i) {
     open(engine.endpoint);
-    ends.emplace_back(new TestPeer(engine.accept()));
+    engine_sides.emplace_back(new TestPeer(engine.accept()));
     links.back()->send_command("*2\r\n$4\r\nHELO\r\n$1\r\n1\r\n");
-    CHECK(ends.back()->read_until("HELO"));
+    CHECK(engine_sides.back()->read_until("HELO"));
   }
   CHECK(threads() == before);
-  const config::Endpoint nobody = gone.endpoint;
-  gone.fd = Fd();
-  open(nobody);
-  ends.clear();
-  std::size_t up = 0, ended = 0;
-  while (ended < links.size()) {
+  const config::Endpoint unused_endpoint = closed_listener.endpoint;
+  closed_listener.fd = Fd();
+  open(unused_endpoint);
+  engine_sides.clear();
+  std::size_t connected = 0, disconnected = 0;
+  while (disconnected < links.size()) {
     for (const auto& event : event_queue.drain_until(Time::max())) {
-      const auto& told = std::get<dispatch::Event>(event);
-      up += std::holds_alternative<dispatch::EngineConnected>(told);
-      ended += std::holds_alternative<dispatch::EngineDisconnected>(told);
+      const auto& dispatch_event = std::get<dispatch::Event>(event);
+      connected += std::holds_alternative<dispatch::EngineConnected>(dispatch_event);
+      disconnected += std::holds_alternative<dispatch::EngineDisconnected>(dispatch_event);
     }
   }
-  CHECK(up == 40);
+  CHECK(connected == 40);
 }
 
-TEST_CASE("a client whose message is too long or no message is closed, and no other") {
+TEST_CASE("only a client that sends an oversized or invalid message is closed") {
   TestListener engine;
   RunningServer running(engine.endpoint);
   TestPeer other(running.server->endpoint());
@@ -132,7 +137,7 @@
   CHECK(other.read_until("\xc3"));
 }
 
-TEST_CASE("a new configuration moves the feed's follower, and the numbers carry on") {
+TEST_CASE("a new configuration moves the feed watcher to the new address, and event numbers continue") {
   TestListener engine, old_feed, new_feed;
   RunningServer running(engine.endpoint, &old_feed.endpoint);
   TestPeer first = old_feed.accept();
@@ -148,7 +153,8 @@
   CHECK_FALSE(first.read_until("anything"));
 }
 
-TEST_CASE("the program lives on after SIGHUP, with a good new file or a bad one, and ends well on SIGTERM") {
+TEST_CASE(
+    "the program keeps running after SIGHUP with a valid or an invalid file, and exits with 0 on SIGTERM") {
   char folder[] = "/tmp/yokestream-XXXXXX";
   REQUIRE(::mkdtemp(folder));
   const std::string path = std::string(folder) + "/config.json";
@@ -162,26 +168,26 @@
     ::_exit(127);
   }
   ::close(out[1]);
-  std::FILE* notes = ::fdopen(out[0], "r");
-  const auto until = [&](const std::string& what) {
+  std::FILE* stderr_stream = ::fdopen(out[0], "r");
+  const auto read_until_line = [&](const std::string& what) {
     char line[512];
-    while (std::fgets(line, sizeof line, notes)) {
+    while (std::fgets(line, sizeof line, stderr_stream)) {
       if (std::string(line).find(what) != std::string::npos) return true;
     }
     return false;
   };
-  CHECK(until("serves on"));
+  CHECK(read_until_line("serves on"));
   ::kill(child, SIGHUP);
-  CHECK(until("took in the new configuration"));
+  CHECK(read_until_line("took in the new configuration"));
   std::ofstream(path) << "{";
   ::kill(child, SIGHUP);
-  CHECK(until("not taken"));
+  CHECK(read_until_line("not taken"));
   ::kill(child, SIGTERM);
-  CHECK(until("ended"));
+  CHECK(read_until_line("ended"));
   int status = 0;
   ::waitpid(child, &status, 0);
   CHECK(status == 0);
-  std::fclose(notes);
+  std::fclose(stderr_stream);
   ::unlink(path.c_str());
   ::rmdir(folder);
 }
--- a/tests/node/net_test_peers.h
+++ b/tests/node/net_test_peers.h
@@ -1,4 +1,4 @@
-// The other ends of the drivers' connections, and a whole manager in the test's own process.
+// Test peers for the server's connections, and a complete manager in the test process.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -20,21 +20,21 @@
 using net::Fd;
 using net::Socket;
 
-// The other end of a connection.
+// The test's end of a connection.
 struct TestPeer {
   explicit TestPeer(Fd fd) : socket(std::move(fd)) {}
   explicit TestPeer(const config::Endpoint& to) {
     net::ConnectFailure failure;
     REQUIRE(socket.connect(to, Time::max(), &failure));
   }
-  // Reads until `what` has come; false: the connection ended first.
-  bool read_until(const std::string& what) {
+  // Reads up to and including `text`. Returns false if the connection is closed before.
+  bool read_until(const std::string& text) {
     char bytes[4096];
-    std::size_t from = 0;  // no byte is looked at twice, but for the start of `what`
+    std::size_t search_start = 0;  // only the length of `text` is searched again after each read
     for (std::size_t size = 1; size > 0; received.append(bytes, size)) {
-      if (const auto at = received.find(what, from); at != std::string::npos)
-        return received.erase(0, at + what.size()), true;
-      from = received.size() < what.size() ? 0 : received.size() - what.size();
+      if (const auto position = received.find(text, search_start); position != std::string::npos)
+        return received.erase(0, position + text.size()), true;
+      search_start = received.size() < text.size() ? 0 : received.size() - text.size();
       size = socket.read_until(bytes, sizeof bytes, Time::max());
     }
     return false;
@@ -50,7 +50,7 @@
   TestPeer accept() { return TestPeer(Fd(::accept(fd.get(), nullptr, nullptr))); }
 };
 
-// What the program notes, kept; a test may wait for a line.
+// Keeps the log lines; a test can wait for one.
 class TestLog : public dispatch::Log {
  public:
   void write(std::string_view line) override {
@@ -58,38 +58,38 @@
     lines_.emplace_back(line);
     line_added_.notify_all();
   }
-  void wait_for(const std::string& what) {
+  void wait_for(const std::string& text) {
     std::unique_lock lock(mutex_);
-    line_added_.wait(lock, [&] { return count_locked(what) > 0; });
+    line_added_.wait(lock, [&] { return count_locked(text) > 0; });
   }
-  long count(const std::string& what) {
+  long count(const std::string& text) {
     const std::lock_guard lock(mutex_);
-    return count_locked(what);
+    return count_locked(text);
   }
 
  private:
-  long count_locked(const std::string& what) const {
+  long count_locked(const std::string& text) const {
     return std::count_if(lines_.begin(), lines_.end(),
-                         [&](const std::string& line) { return line.find(what) != std::string::npos; });
+                         [&](const std::string& line) { return line.find(text) != std::string::npos; });
   }
   std::mutex mutex_;
   std::condition_variable line_added_;
   std::vector<std::string> lines_;
 };
 
-inline std::string encode_feed_event(int number, const std::string& uid, const config::Endpoint& at) {
+inline std::string encode_feed_event(int number, const std::string& uid, const config::Endpoint& engine) {
   return "id: " + std::to_string(number) + "\ndata: {\"n\":" + std::to_string(number) +
-         R"(,"members":{"all":false,"targets":[{"uid":")" + uid + R"(","endpoint":")" + to_string(at) +
+         R"(,"members":{"all":false,"targets":[{"uid":")" + uid + R"(","endpoint":")" + to_string(engine) +
          R"(","az":"z","model":"m","state":"up"}]}})" + "\n\n";
 }
 
 inline std::string encode_request(int number, const std::string& id, const std::string& statement,
                                   const std::string& cls = "look") {
-  const auto text = [](const std::string& t) { return static_cast<char>(0xa0 | t.size()) + t; };
-  std::string out{'\x94', '\x00', static_cast<char>(number)};
-  out += text(cls) + "\x92\x83" + text("req") + text(id) + text("timeout") + text("4000") + text("owner") +
-         text("acme");
-  return out + '\xc4' + static_cast<char>(statement.size()) + statement;
+  const auto text = [](const std::string& value) { return static_cast<char>(0xa0 | value.size()) + value; };
+  std::string message{'\x94', '\x00', static_cast<char>(number)};
+  message += text(cls) + "\x92\x83" + text("req") + text(id) + text("timeout") + text("4000") +
+             text("owner") + text("acme");
+  return message + '\xc4' + static_cast<char>(statement.size()) + statement;
 }
 
 struct RunningServer {
@@ -107,7 +107,7 @@
   std::optional<net::Server> server;
 };
 
-// One request of one client is out at the engine.
+// The request of one client has been sent to the engine and is not answered.
 struct OneRequestInFlight {
   OneRequestInFlight()
       : link((client.send(encode_request(1, "0123456789abcdef", "select 1")), engine.accept())) {
@@ -119,13 +119,13 @@
   TestPeer link;
 };
 
-// A connected pair; what one end writes the other reads only when it is told to.
+// A connected pair of sockets with a small send buffer. The peer reads only when it is told to.
 struct SocketPair {
-  SocketPair() : peer(listening.endpoint), socket(Fd(::accept(listening.fd.get(), nullptr, nullptr))) {
-    const int small = 4096;
-    setsockopt(socket.descriptor(), SOL_SOCKET, SO_SNDBUF, &small, sizeof small);
+  SocketPair() : peer(listener.endpoint), socket(Fd(::accept(listener.fd.get(), nullptr, nullptr))) {
+    const int send_buffer_bytes = 4096;
+    setsockopt(socket.descriptor(), SOL_SOCKET, SO_SNDBUF, &send_buffer_bytes, sizeof send_buffer_bytes);
   }
-  TestListener listening;
+  TestListener listener;
   TestPeer peer;
   net::Socket socket;
 };
--- a/tests/node/process_group_test.cpp
+++ b/tests/node/process_group_test.cpp
@@ -1,4 +1,5 @@
-// upgrade::ProcessGroup: several members in one process, each with its own open file and so its own locks.
+// Tests of upgrade::ProcessGroup with several members in one process, each with its own open file and thus
+// its own locks.
 #include "upgrade/process_group.h"
 
 #include <doctest/doctest.h>
@@ -18,20 +19,20 @@
 
 using upgrade::ProcessGroup;
 
-struct Shared {
-  Shared() { REQUIRE(::mkdtemp(path.data())); }
-  ~Shared() { std::filesystem::remove_all(path); }
+struct SharedFolder {
+  SharedFolder() { REQUIRE(::mkdtemp(path.data())); }
+  ~SharedFolder() { std::filesystem::remove_all(path); }
   std::unique_ptr<ProcessGroup> start() { return std::make_unique<ProcessGroup>(path); }
   std::string path = (std::filesystem::temp_directory_path() / "yokestream-XXXXXX").string();
 };
 
-// A process that missed when a peer begins or dies would shut down with nobody serving, or wait for a dead
-// one.
-TEST_CASE_FIXTURE(Shared, "a peer counts as successor while it serves, until it withdraws or dies") {
+// A process that misses the start or the death of a peer would shut down while no other process serves, or
+// wait for a dead one.
+TEST_CASE_FIXTURE(SharedFolder, "a peer counts as successor while it serves, until it withdraws or dies") {
   const auto predecessor = start();
   CHECK_FALSE(predecessor->has_successor());
   predecessor->announce_serving();
-  CHECK_FALSE(predecessor->has_successor());  // it is not its own
+  CHECK_FALSE(predecessor->has_successor());  // a process is not its own successor
   auto successor = start();
   CHECK(successor->has_successor());
   CHECK_FALSE(predecessor->has_successor());
@@ -43,9 +44,11 @@
   CHECK_FALSE(predecessor->has_successor());
 }
 
-// If the record of a killed process still counted, the next one would set its sessions aside for ever.
+// If the record of a killed process still counted, its sessions would reduce the limits of the others for
+// ever.
 TEST_CASE_FIXTURE(
-    Shared, "usage is summed over living peers; records of dead ones and noise in the file do not count") {
+    SharedFolder,
+    "usage is summed over living peers; records of dead ones and garbage in the file do not count") {
   std::ofstream(path + "/yokestream-processes") << std::string(4096, '\x7f');
   const auto a = start();
   CHECK(a->peer_usage().sessions == 0);
@@ -62,8 +65,7 @@
   CHECK(a->peer_usage().sessions == 4);
 }
 
-TEST_CASE_FIXTURE(
-    Shared, "one process too many and a missing folder are errors, and a slot that is free again is reused") {
+TEST_CASE_FIXTURE(SharedFolder, "a full group and a missing folder are errors, and a freed slot is reused") {
   std::vector<std::unique_ptr<ProcessGroup>> all;
   for (int i = 0; i < ProcessGroup::kMaxProcesses; ++i) all.push_back(start());
   CHECK_THROWS_AS(start(), std::system_error);
@@ -86,7 +88,7 @@
   CHECK(budget.try_reserve(more, 3));
 }
 
-TEST_CASE("two processes of one group stay within the descriptor limit of one") {
+TEST_CASE("two processes of one group together stay within the descriptor limit of one") {
   for (const std::size_t sockets : {128u, 256u, 384u, 1024u}) {
     config::Limits limits;
     limits.sockets = sockets;
--- a/tests/processes/upgrade_test.cpp
+++ b/tests/processes/upgrade_test.cpp
@@ -169,7 +169,7 @@
   std::ofstream(site.folder.path() + "/yokestream-learnt") << "noise of another life";
   const auto program = site.start();
   ask_until(program->operators(), "readyz", kSuccess);
-  const std::string words = "what another process learnt is not taken over: it is of another form";
+  const std::string words = "learned state of another process rejected: cause=\"it is of another form\"";
   const auto at = program->said().find(words);
   CHECK(at != std::string::npos);
   CHECK(program->said().find(words, at + 1) == std::string::npos);
