--- a/src/dispatch/admission_stages.cpp
+++ b/src/dispatch/admission_stages.cpp
@@ -168,7 +168,7 @@
   line.precision(3);
   line << "queues arrived=" << f.arrived << " passed_at_once=" << f.admitted_immediately
        << " waited=" << f.queued << " turned_away=" << f.rejected << " expired=" << f.expired
-       << " rescued=" << f.dispatched_overdue << " quotes=" << f.estimates
+       << " rescued=" << f.dispatched_past_due << " quotes=" << f.estimates
        << " quotes_right=" << f.accurate_estimates << " long_quotes=" << f.long_estimates
        << " long_quotes_right=" << f.accurate_long_estimates << " longest_wait=" << f.longest_wait_s
        << " waiting=" << f.waiting << " in=" << f.admitted << " sunk=" << f.demoted
--- a/src/operator/read_queues.cpp
+++ b/src/operator/read_queues.cpp
@@ -89,7 +89,7 @@
   queues.enabled = section.flag("on", queues.enabled);
   queues.budget_period = section.time("span_ms", queues.budget_period, 1000, 86'400'000);
   queues.ageing_step = section.time("age_ms", queues.ageing_step, 10, 600'000);
-  queues.overdue_share = section.number("rescue", queues.overdue_share, 0, 0.5);
+  queues.past_due_share = section.number("rescue", queues.past_due_share, 0, 0.5);
   queues.max_queued = section.count("waiting", queues.max_queued, 1, 262'144);
   queues.slack_factor = section.number("patience", queues.slack_factor, 0, 100);
   queues.max_wait = section.time("most_wait_ms", queues.max_wait, 0, 600'000);
--- a/src/policy/table_group_locks.cpp
+++ b/src/policy/table_group_locks.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 // A lock this long past its expected end is dropped: its release was lost.
-constexpr Duration kMaxOverdue = std::chrono::milliseconds(3000);
+constexpr Duration kMaxPastDue = std::chrono::milliseconds(3000);
 // Assumed remaining time of a lock that is past its expected end.
-constexpr double kOverdueRemainingSeconds = 0.2;
+constexpr double kPastDueRemainingSeconds = 0.2;
 
 }  // namespace
 
@@ -23,14 +23,14 @@
 }
 
 void TableGroupLocks::expire(Time now) {
-  std::erase_if(locks_, [&](const auto& lock) { return now > lock.second.second + kMaxOverdue; });
+  std::erase_if(locks_, [&](const auto& lock) { return now > lock.second.second + kMaxPastDue; });
 }
 
 double TableGroupLocks::remaining_s(TableGroupId table_group, Time now) const {
   double remaining = 0;
   const auto [from, to] = locks_.equal_range(wire_id(table_group));
   for (auto it = from; it != to; ++it)
-    remaining = std::max(remaining, std::max(kOverdueRemainingSeconds, to_seconds(it->second.second - now)));
+    remaining = std::max(remaining, std::max(kPastDueRemainingSeconds, to_seconds(it->second.second - now)));
   return remaining;
 }
 
--- a/src/scheduler/budget_accounts.cpp
+++ b/src/scheduler/budget_accounts.cpp
@@ -14,7 +14,7 @@
 void BudgetAccounts::configure(Time now, const Settings& settings) {
   const auto previous = balances(now);
   period_s_ = seconds_of(settings.budget_period);
-  overdue_share_ = settings.overdue_share;
+  past_due_share_ = settings.past_due_share;
   nodes_.clear();
   for (const Team& team : settings.teams) {
     Node node;
@@ -56,7 +56,7 @@
 
 double BudgetAccounts::guaranteed_rate(std::size_t node) const {
   return std::max({budget_rate(node), nodes_[node].floor * throughput_,
-                   overdue_share_ * throughput_ / static_cast<double>(nodes_.size())});
+                   past_due_share_ * throughput_ / static_cast<double>(nodes_.size())});
 }
 
 void BudgetAccounts::refill(Time now) {
--- a/src/scheduler/budget_accounts.h
+++ b/src/scheduler/budget_accounts.h
@@ -67,7 +67,7 @@
   void charge_node(Node& node, double cost);
 
   std::vector<Node> nodes_;
-  double throughput_ = 1, budget_scale_ = 1, period_s_ = 60, overdue_share_ = 0.1;
+  double throughput_ = 1, budget_scale_ = 1, period_s_ = 60, past_due_share_ = 0.1;
   Time refilled_at_{};
 };
 
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -110,7 +110,7 @@
   capacity_.set_cores(cores);
   if (throughput_windows_ == 0) throughput_ = capacity_.drain_rate();
   accounts_.set_throughput(now, throughput_);
-  selector_.set_overdue_rate(now, settings_.overdue_share * throughput_);
+  selector_.set_past_due_rate(now, settings_.past_due_share * throughput_);
 }
 
 std::size_t Scheduler::team_of(std::size_t tenant) const {
@@ -165,13 +165,13 @@
     if (round == 0 && wait == 0) break;
   }
   // Once overdue, the request is also served from the team's part of the overdue share.
-  const double overdue_rate =
-      settings_.overdue_share * throughput_ / static_cast<double>(1 + other_overdue_teams(now, team));
-  if (overdue_rate <= 0) return wait;
-  return std::min(wait, seconds_of(due - now + settings_.ageing_step) + ahead / overdue_rate);
+  const double past_due_rate =
+      settings_.past_due_share * throughput_ / static_cast<double>(1 + other_past_due_teams(now, team));
+  if (past_due_rate <= 0) return wait;
+  return std::min(wait, seconds_of(due - now + settings_.ageing_step) + ahead / past_due_rate);
 }
 
-std::size_t Scheduler::other_overdue_teams(Time now, std::size_t team) const {
+std::size_t Scheduler::other_past_due_teams(Time now, std::size_t team) const {
   std::size_t count = 0;
   for (std::size_t i = 0; i < teams_.size(); ++i) {
     const auto head = queue_.head(i);
@@ -228,13 +228,13 @@
   return estimate(now, arrival, queue_.count(team) == 0 && has_capacity(now, team)).wait;
 }
 
-void Scheduler::admit(Time now, QueryId query, const Admitted& request, bool overdue) {
+void Scheduler::admit(Time now, QueryId query, const Admitted& request, bool past_due) {
   threads_in_use_ += request.threads;
   if (queue_.size() > 0) window_cost_ += request.cost;
   Admitted& stored = admitted_[query] = request;
   stored.threads_held = request.threads, stored.typical_cost = typical_cost(request);
   accounts_.charge(now, request.team, request.cost);
-  selector_.on_dispatched(now, {request.team, overdue}, request.cost, accounts_);
+  selector_.on_dispatched(now, {request.team, past_due}, request.cost, accounts_);
 }
 
 Verdict Scheduler::reject(const Estimate& estimate, Duration max_wait, QueryId query) const {
@@ -304,7 +304,7 @@
   throughput_ =
       std::max(kMinThroughputPerCore * std::max(1.0, cores_), throughput_ + weight * (rate - throughput_));
   accounts_.set_throughput(now, throughput_);
-  selector_.set_overdue_rate(now, settings_.overdue_share * throughput_);
+  selector_.set_past_due_rate(now, settings_.past_due_share * throughput_);
   window_start_ = now, window_cost_ = 0;
 }
 
@@ -341,13 +341,13 @@
   const Entry entry = queue_.remove(ref);
   const Queued queued = queued_.at(entry.query);
   queued_.erase(entry.query);
-  metrics_.dispatched_overdue += selection.overdue;
+  metrics_.dispatched_past_due += selection.past_due;
   Admitted request{team, entry.tenant,         entry.cls, entry.estimated_work_s, entry.cost, entry.threads,
                    now,  queued.soft_deadline, false,     queued.is_load};
   request.borrowed = accounts_.status(now, team) == BudgetStatus::borrowing;
   record_wait(now, entry);
   if (queue_.size() == 0) window_cost_ += request.cost;
-  admit(now, entry.query, request, selection.overdue);
+  admit(now, entry.query, request, selection.past_due);
   update_throughput(now);
   return QueueVerdict{entry.query, {Decision::admit, {}, typical_cost(request), {}}};
 }
@@ -428,7 +428,7 @@
   accounts_.restore(now, snapshot.balances);
   if (snapshot.throughput > 0) throughput_ = snapshot.throughput, throughput_windows_ = kRestoredWindows;
   accounts_.set_throughput(now, throughput_);
-  selector_.set_overdue_rate(now, settings_.overdue_share * throughput_);
+  selector_.set_past_due_rate(now, settings_.past_due_share * throughput_);
   window_start_ = now, window_cost_ = 0;
   std::vector<QueryId> rejected;
   for (const auto& w : snapshot.queued) {
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -65,7 +65,7 @@
 // Counts since the start and current values, for operators. See docs/operators/queues.md.
 struct Metrics {
   std::uint64_t arrived = 0, admitted_immediately = 0, queued = 0, rejected = 0;
-  std::uint64_t expired = 0, dispatched_overdue = 0;
+  std::uint64_t expired = 0, dispatched_past_due = 0;
   std::uint64_t estimates = 0, accurate_estimates = 0;  // of dispatched requests
   // Of these, those with an estimated or actual wait of kShortWaitS or longer.
   std::uint64_t long_estimates = 0, accurate_long_estimates = 0;
@@ -179,12 +179,12 @@
   void fill_fluid_queues(Time now);
   double forecast_wait_s(Time now, std::size_t team, Time due);
   Estimate estimate(Time now, const Arrival& arrival, bool has_capacity);
-  std::size_t other_overdue_teams(Time now, std::size_t team) const;
+  std::size_t other_past_due_teams(Time now, std::size_t team) const;
   bool has_capacity(Time now, std::size_t team);
   double typical_cost(const Admitted& request) const {
     return cost_.estimate_s(request.tenant, request.cls, request.estimated_work_s);
   }
-  void admit(Time now, QueryId query, const Admitted& request, bool overdue = false);
+  void admit(Time now, QueryId query, const Admitted& request, bool past_due = false);
   void record_wait(Time now, const Entry& entry);
   Verdict reject(const Estimate& estimate, Duration max_wait, QueryId query) const;
   void update_throughput(Time now);
--- a/src/scheduler/settings.h
+++ b/src/scheduler/settings.h
@@ -36,7 +36,7 @@
   std::vector<std::size_t> team_of;  // position in `teams`, by tenant; a missing tenant is in team 0
   Duration budget_period = std::chrono::seconds(60);
   Duration ageing_step = std::chrono::seconds(2);  // waiting this long raises a request by one service level
-  double overdue_share = 0.1;      // fraction of the engines reserved for overdue requests; 0 to 0.5
+  double past_due_share = 0.1;     // fraction of the engines reserved for overdue requests; 0 to 0.5
   std::size_t max_queued = 16384;  // requests queued over all teams; 1 to 262,144
   // A request is rejected if its estimated wait is over this many times its slack, the longest wait that lets
   // it finish by its soft deadline; 0 to 100. A request of service level 0 may wait until its deadline.
--- a/src/scheduler/team_selector.cpp
+++ b/src/scheduler/team_selector.cpp
@@ -11,25 +11,25 @@
   refilled_at_ = now;
 }
 
-void TeamSelector::set_overdue_rate(Time now, double overdue_rate) {
+void TeamSelector::set_past_due_rate(Time now, double past_due_rate) {
   refill(now);
-  overdue_rate_ = overdue_rate;
+  past_due_rate_ = past_due_rate;
 }
 
 void TeamSelector::refill(Time now) {
   const double elapsed_s = std::chrono::duration<double>(now - refilled_at_).count();
   if (elapsed_s <= 0) return;
   refilled_at_ = now;
-  overdue_balance_ = std::min(overdue_rate_, overdue_balance_ + overdue_rate_ * elapsed_s);
+  past_due_balance_ = std::min(past_due_rate_, past_due_balance_ + past_due_rate_ * elapsed_s);
 }
 
 TeamSelector::Selection TeamSelector::select_candidate(Time now, Duration ageing_step) {
   const Candidate* best = nullptr;
-  if (overdue_balance_ > 0) {
+  if (past_due_balance_ > 0) {
     for (const Candidate& c : candidates_) {
       if (now - c.due <= ageing_step) continue;
-      if (!best || std::tie(states_[c.team].overdue_served_at, c.due) <
-                       std::tie(states_[best->team].overdue_served_at, best->due))
+      if (!best || std::tie(states_[c.team].past_due_served_at, c.due) <
+                       std::tie(states_[best->team].past_due_served_at, best->due))
         best = &c;
     }
     if (best) return {best->team, true};
@@ -52,7 +52,7 @@
   const std::size_t team = selection.team;
   TeamState& own = states_[team];
   const std::size_t top = accounts.parent(team) == kNoTeam ? team : accounts.parent(team);
-  if (selection.overdue) overdue_balance_ -= cost, own.overdue_served_at = now;
+  if (selection.past_due) past_due_balance_ -= cost, own.past_due_served_at = now;
   // An idle team starts at the current virtual time, so that it does not accumulate credit.
   states_[top].virtual_time = std::max(states_[top].virtual_time, virtual_time_);
   virtual_time_ = std::max(virtual_time_, states_[top].virtual_time);
--- a/src/scheduler/team_selector.h
+++ b/src/scheduler/team_selector.h
@@ -24,11 +24,11 @@
 class TeamSelector {
  public:
   void reset_teams(Time now, std::size_t count);
-  void set_overdue_rate(Time now, double overdue_rate);  // engine-seconds per second
+  void set_past_due_rate(Time now, double past_due_rate);  // engine-seconds per second
 
   struct Selection {
     std::size_t team = kNoTeam;
-    bool overdue = false;  // selected by the starvation guard
+    bool past_due = false;  // selected by the starvation guard
   };
   // kNoTeam: no team may be served. `has_capacity(team)`: may the team's first request be dispatched?
   template <class HasCapacity>
@@ -59,14 +59,14 @@
   };
   struct TeamState {
     double virtual_time = 0;
-    Time overdue_served_at{};
+    Time past_due_served_at{};
   };
   Selection select_candidate(Time now, Duration ageing_step);
   void refill(Time now);
 
   std::vector<TeamState> states_;
   std::vector<Candidate> candidates_;  // reused, so that selecting does not allocate
-  double virtual_time_ = 0, overdue_rate_ = 0, overdue_balance_ = 0;
+  double virtual_time_ = 0, past_due_rate_ = 0, past_due_balance_ = 0;
   Time refilled_at_{};
 };
 
--- a/tests/node/scheduler_test.cpp
+++ b/tests/node/scheduler_test.cpp
@@ -304,7 +304,7 @@
   }
   sim.run_for(60s, 100ms);
   CHECK(sim.dispatched_work[2] >= 0.97 * 360 * 0.5);
-  CHECK(sim.scheduler.metrics().dispatched_overdue > 100);
+  CHECK(sim.scheduler.metrics().dispatched_past_due > 100);
   CHECK(sim.longest_wait_s <= 20.2);
 }
 
