--- a/src/dispatch/request_table.cpp
+++ b/src/dispatch/request_table.cpp
@@ -27,11 +27,11 @@
 }
 
 std::vector<QueryId> RequestTable::open_calls_of(SessionId session) const {
-  std::vector<QueryId> open;
+  std::vector<QueryId> open_queries;
   for (auto it = open_calls_.lower_bound({session, 0}); it != open_calls_.end() && it->first.first == session;
        ++it)
-    open.push_back(it->second);
-  return open;
+    open_queries.push_back(it->second);
+  return open_queries;
 }
 
 std::optional<QueryId> RequestTable::first_open_call() const {
@@ -41,7 +41,7 @@
 void RequestTable::close_call(Request& request) {
   request.answered = true;
   open_calls_.erase({request.received.session, request.received.call});
-  timers_.cancel(request.watchdog);
+  timers_.cancel(request.watchdog_timer);
 }
 
 void RequestTable::forget_if_done(QueryId query) {
@@ -50,7 +50,7 @@
   if (!request.answered || request.attempt) return;
   stages_.on_request_finished(clock_.now(), query, request.stage_outcome);
   request_ids_in_use_.erase(request.received.request_id);
-  timers_.cancel(request.response_deadline);
+  timers_.cancel(request.response_deadline_timer);
   requests_.erase(it);
 }
 
--- a/src/net/client_session.h
+++ b/src/net/client_session.h
@@ -54,8 +54,8 @@
   void send_rejection(dispatch::CallId call, Duration retry_after);
   void send_failure(dispatch::CallId call, std::string_view cause);
   void send_readiness(dispatch::CallId call, bool is_ready);
-  void attach_quote(dispatch::CallId call, const scheduler::Quote& quote);  // sent with the result
-  void send_quote(dispatch::CallId call, const scheduler::Quote& quote);
+  void attach_quote(dispatch::CallId call, const scheduler::WaitEstimate& quote);  // sent with the result
+  void send_quote(dispatch::CallId call, const scheduler::WaitEstimate& quote);
   // Called when the dispatcher has handled one of the client's messages.
   void release_message_credit() { credits_.release(); }
   // Stops reading and writing at once. `cause` is a string literal; it is logged if responses were unwritten.
@@ -122,7 +122,7 @@
   Time last_read_at_{};                               // arrival time of the last bytes read
   std::optional<Time> unread_since_;                  // when reading was paused with bytes perhaps unread
   const char* close_cause_ = "closed by the client";  // reported by on_closed()
-  std::map<dispatch::CallId, scheduler::Quote> attached_quotes_;  // dispatcher thread only
+  std::map<dispatch::CallId, scheduler::WaitEstimate> attached_quotes_;  // dispatcher thread only
   Sender<Item> sender_;
   Thread thread_;  // declared last: it uses the other members
 };
--- a/tests/unit/policy/slow_start_budget_test.cpp
+++ b/tests/unit/policy/slow_start_budget_test.cpp
@@ -66,7 +66,7 @@
       if (step == 0) notify(0, on_time_count());
       if (step == static_cast<std::size_t>(3s / kStep)) notify(on_time_count(), managers_.size());
       arrive();
-      for (auto& manager : managers_) manager->pass(kStep);
+      for (auto& manager : managers_) manager->advance(kStep);
       for (std::size_t i = 0; i < managers_.size(); ++i) take_sends(i);
       now_ += kStep;
     }
@@ -80,9 +80,9 @@
            static_cast<std::size_t>(test_case_.notified_late * static_cast<double>(managers_.size()));
   }
   void notify(std::size_t from, std::size_t until) {
-    EngineEntry entry = engine("cold");
+    EngineEntry entry = make_engine("cold");
     entry.start_time = start_;
-    for (std::size_t i = from; i < until; ++i) managers_[i]->list({entry});
+    for (std::size_t i = from; i < until; ++i) managers_[i]->update_engine_list({entry});
   }
   double uniform() { return std::uniform_real_distribution<double>(0, 1)(random_); }
   double draw_work_s() {  // log-normal with the mean of the deployment
@@ -106,9 +106,9 @@
   // capacity.
   void take_sends(std::size_t i) {
     ManagerHarness& manager = *managers_[i];
-    while (!manager.order.empty()) {
-      const QueryId query = manager.order.back();
-      manager.order.pop_back();
+    while (!manager.send_order.empty()) {
+      const QueryId query = manager.send_order.back();
+      manager.send_order.pop_back();
       const double work_s = query_work_s_.at(static_cast<std::size_t>(query) - 1);
       const auto work_time = Duration(static_cast<Duration::rep>(work_s * 1e9));
       manager.feed(AttemptEnded{
--- a/tests/unit/policy/slow_start_rules_test.cpp
+++ b/tests/unit/policy/slow_start_rules_test.cpp
@@ -18,18 +18,18 @@
 
 TEST(SlowStartRule, KeepsWorkToAColdEngineUnderItsBudget) {
   const auto s = cold_settings();
-  auto a = engine("a");
+  auto a = make_engine("a");
   ManagerHarness manager(s, {});
   a.start_time = manager.now;
-  manager.list({a});
+  manager.update_engine_list({a});
   for (std::uint64_t id = 1; id <= 200; ++id) {  // one second of short queries, each answered at once
     manager.arrive(id, 10s, 100ms);
-    while (!manager.order.empty()) {
-      const auto q = manager.order.back();
-      manager.order.pop_back();
-      if (!manager.finals[q]) manager.end(q, Outcome::served, 100ms);
+    while (!manager.send_order.empty()) {
+      const auto q = manager.send_order.back();
+      manager.send_order.pop_back();
+      if (!manager.final_answers[q]) manager.end_attempt(q, Outcome::served, 100ms);
     }
-    manager.pass(5ms);
+    manager.advance(5ms);
   }
   const double sent = 0.1 * static_cast<double>(manager.sends.size());
   EXPECT_GT(sent, 0.2);
@@ -40,22 +40,22 @@
   auto s = cold_settings();
   s.manager_count = 200;
   s.kinds = {{16, 0}};
-  auto a = engine("a");
+  auto a = make_engine("a");
   std::vector<std::unique_ptr<ManagerHarness>> managers;
   for (std::uint64_t i = 0; i < s.manager_count; ++i) {
     managers.push_back(std::make_unique<ManagerHarness>(s, std::vector<EngineEntry>{}, i + 1));
     a.start_time = managers[i]->now;
-    managers[i]->list({a});
+    managers[i]->update_engine_list({a});
   }
   std::vector<std::size_t> by_tick;  // sends of all managers together
   for (std::uint64_t tick = 0; tick < 100; ++tick) {
     std::size_t sends = 0;
     for (auto& manager : managers) {
-      const auto before = manager->order.size();
+      const auto before = manager->send_order.size();
       if (tick % 20 == 0) manager->arrive(tick + 1, 10s, 100ms);
-      manager->pass(20ms);
-      for (std::size_t k = before; k < manager->order.size(); ++k)
-        manager->end(manager->order[k], Outcome::served), ++sends;
+      manager->advance(20ms);
+      for (std::size_t k = before; k < manager->send_order.size(); ++k)
+        manager->end_attempt(manager->send_order[k], Outcome::served), ++sends;
     }
     by_tick.push_back(sends);
   }
@@ -81,25 +81,25 @@
   s.kinds = {{16, 0}};
   s.reports_cost = true;
   const auto sent_after = [&](Duration elapsed) {
-    ManagerHarness manager(s, {engine("a")});
+    ManagerHarness manager(s, {make_engine("a")});
     std::uint64_t id = 1;
     for (; id <= 60; ++id) {
       const auto q = manager.arrive(id, 60s, 100ms);
-      manager.pass(elapsed);
-      if (manager.tries(q) > 0)
+      manager.advance(elapsed);
+      if (manager.attempt_count(q) > 0)
         manager.feed(AttemptEnded{q, AttemptNumber{0}, {"a"}, Outcome::served, elapsed, true, {}, 100ms, 64});
     }
-    auto cold = engine("b");
+    auto cold = make_engine("b");
     cold.start_time = manager.now;
-    manager.list({engine("a", EngineState::draining), cold});
-    manager.order.clear();
+    manager.update_engine_list({make_engine("a", EngineState::draining), cold});
+    manager.send_order.clear();
     std::size_t sent = 0;
     for (int i = 0; i < 200; ++i) {
       manager.arrive(id++, 60s, 100ms);
-      manager.pass(50ms);
-      while (!manager.order.empty()) {
-        const auto q = manager.order.back();
-        manager.order.pop_back();
+      manager.advance(50ms);
+      while (!manager.send_order.empty()) {
+        const auto q = manager.send_order.back();
+        manager.send_order.pop_back();
         manager.feed(AttemptEnded{q, AttemptNumber{0}, {"b"}, Outcome::served, elapsed, true, {}, 100ms, 64});
         ++sent;
       }
@@ -113,14 +113,14 @@
 
 TEST(SlowStartRule, TreatsARestartUnderTheSameNameAsCold) {
   const auto s = cold_settings();
-  ManagerHarness manager(s, {engine("a")});
-  auto restarted = engine("a");
+  ManagerHarness manager(s, {make_engine("a")});
+  auto restarted = make_engine("a");
   restarted.start_time = manager.now;
-  manager.list({restarted});
+  manager.update_engine_list({restarted});
   std::size_t sent = 0;
   for (std::uint64_t id = 1; id <= 100; ++id) {
     const auto q = manager.arrive(id, 10s, 100ms);
-    if (manager.tries(q)) ++sent, manager.end(q, Outcome::served, 100ms);
+    if (manager.attempt_count(q)) ++sent, manager.end_attempt(q, Outcome::served, 100ms);
   }
   EXPECT_LE(sent, 18u);
 }
