--- a/src/migration/migration_task.cpp
+++ b/src/migration/migration_task.cpp
@@ -73,7 +73,7 @@
     // All members acknowledge a new plan at step 0, with its areas at their source, before any area moves.
     finish_plans(next);
     const std::size_t active_count = next.plans.size();
-    apply_staff_requests(fleet, next, draft);
+    apply_operator_requests(fleet, next, draft);
     for (std::size_t i = 0; i < active_count; ++i) advance(fleet, next.plans[i]);
   }
   has_pending_work_ = !acknowledged || !next.plans.empty();
@@ -87,7 +87,7 @@
 }
 
 // Proposes, halts and resumes plans. A rejected plan gets the reason as its outcome.
-void MigrationTask::apply_staff_requests(const coordination::FleetSnapshot& fleet, MigrationRecord& next,
+void MigrationTask::apply_operator_requests(const coordination::FleetSnapshot& fleet, MigrationRecord& next,
                                          Draft& draft) const {
   const auto find_progress = [&](const std::string& name) {
     return std::find_if(next.plans.begin(), next.plans.end(),
--- a/src/migration/migration_task.h
+++ b/src/migration/migration_task.h
@@ -72,7 +72,7 @@
   std::optional<routing::RouteTable> derive_routing_table() const;
   StageSpan& span_of(const coordination::FleetSnapshot& fleet, const PlanProgress& progress);
   bool all_acknowledged(const coordination::FleetSnapshot& fleet);
-  void apply_staff_requests(const coordination::FleetSnapshot& fleet, MigrationRecord& next,
+  void apply_operator_requests(const coordination::FleetSnapshot& fleet, MigrationRecord& next,
                             Draft& draft) const;
   void advance(const coordination::FleetSnapshot& fleet, PlanProgress& progress);
   // Whether the plan may take its next step. If its gate fails, halts the plan or starts its rollback.
