--- a/src/standin/deadline.cpp
+++ b/src/standin/deadline.cpp
@@ -165,8 +165,7 @@
   for (std::size_t i = 0; i < kRounds; ++i) {
     now += std::chrono::microseconds(20);
     arrive();
-    queues.on_request_finished(now, policy::QueryId{i + 1},
-                               {});  // the first ones passed at once: there is room again
+    queues.on_request_finished(now, policy::QueryId{i + 1}, {});  // requests that were admitted at once
     while (queues.next(now)) {
     }
   }
