--- a/src/migration/migration_task.cpp
+++ b/src/migration/migration_task.cpp
@@ -88,7 +88,7 @@
 
 // Proposes, halts and resumes plans. A rejected plan gets the reason as its outcome.
 void MigrationTask::apply_operator_requests(const coordination::FleetSnapshot& fleet, MigrationRecord& next,
-                                         Draft& draft) const {
+                                            Draft& draft) const {
   const auto find_progress = [&](const std::string& name) {
     return std::find_if(next.plans.begin(), next.plans.end(),
                         [&](const PlanProgress& progress) { return progress.plan.name == name; });
--- a/src/migration/migration_task.h
+++ b/src/migration/migration_task.h
@@ -73,7 +73,7 @@
   StageSpan& span_of(const coordination::FleetSnapshot& fleet, const PlanProgress& progress);
   bool all_acknowledged(const coordination::FleetSnapshot& fleet);
   void apply_operator_requests(const coordination::FleetSnapshot& fleet, MigrationRecord& next,
-                            Draft& draft) const;
+                               Draft& draft) const;
   void advance(const coordination::FleetSnapshot& fleet, PlanProgress& progress);
   // Whether the plan may take its next step. If its gate fails, halts the plan or starts its rollback.
   bool stage_completed(const coordination::FleetSnapshot& fleet, const StageSpan& span,
