--- a/include/yokestream/policy/settings.h
+++ b/include/yokestream/policy/settings.h
@@ -25,9 +25,9 @@
 enum class ClassId : std::uint32_t {};   // position in Settings::classes
 enum class TenantId : std::uint32_t {};  // position in Settings::tenants
 enum class ZoneId : std::uint32_t {};
-enum class KindId : std::uint32_t {};  // position in Settings::kinds
-enum class CellId : std::uint64_t {};
-enum class TableGroupId : std::uint64_t {};
+enum class KindId : std::uint32_t {};        // position in Settings::kinds
+enum class CellId : std::uint64_t {};        // of engines within DeduplicationScope::cell
+enum class TableGroupId : std::uint64_t {};  // of the tables that ClassSettings::locks_table_group locks
 enum class OrderKey : std::uint64_t {};
 enum class ManagerId : std::uint32_t {};
 enum class AttemptNumber : std::uint32_t {};  // 0, 1, 2 ... in the order of the query's Sends
@@ -38,7 +38,7 @@
 
 // Whether a query may run twice. keyed: engines discard duplicates by their idempotency key.
 enum class Idempotency { idempotent, keyed, non_idempotent };
-// Keyed queries: the engines among which a duplicate is recognized.
+// Keyed queries: the engines among which a duplicate is recognized: all, or those with the same zone or cell.
 enum class DeduplicationScope { everywhere, zone, cell };
 // How the engine list reaches the manager.
 enum class EngineListSource { pushed, on_request };
@@ -82,6 +82,8 @@
   double memory_mb = 0;  // 0: unknown
 };
 struct TenantSettings {
+  // 0: not set. Default of the tenant's weight in the throttle and, added up per team, of the team's share of
+  // the engines' throughput in the scheduler.
   double share = 0;
   double quota_per_s = 0;  // queries per second; 0: no quota
 };
@@ -115,15 +117,18 @@
   double over_quota_weight_ratio = 1;  // factor on the weight of queries beyond the tenant's quota
 
   Duration answer_slack{};  // a final answer is due within this time after the deadline
-  Duration drain_grace{};   // sends to an engine are tolerated for this time after it starts draining
+  // For this time after an engine starts draining, a send to it is not a violation.
+  Duration drain_grace{};
   double slow_start_initial_ratio = 1;  // fraction of its capacity that an engine has when it starts
   Duration slow_start_window{};         // an engine is warm after this time; 0: engines start warm
-  // An engine in slow start is overloaded by work of this multiple of its current capacity within the window.
+  // An engine in slow start becomes overloaded if the work sent to it within cold_overload_window exceeds
+  // this multiple of the work that its current capacity can do in that time.
   double cold_overload_multiple = 0;  // 0: no limit
   Duration cold_overload_window{};
   Duration engine_list_request_deadline{};  // the list must be requested within this time
   Duration order_pause{};  // pause of an order key after an attempt that may still be running
-  // Allows, within the window, the minimum number of retries plus the ratio of the requests that arrived.
+  // Within retry_budget_window, at most retry_budget_min_retries + retry_budget_ratio x (requests that
+  // arrived in the window) retries are sent.
   bool retry_budget_enabled = false;
   double retry_budget_min_retries = 0;
   double retry_budget_ratio = 0;
--- a/src/admin/admin_listener.cpp
+++ b/src/admin/admin_listener.cpp
@@ -138,7 +138,8 @@
   std::erase_if(connections_, [&](const auto& open) { return open.get() == connection; });
 }
 
-// The failure texts are part of the wire protocol: the platform's staff reads them.
+// The failure texts are part of the wire protocol: the platform's staff reads them. "clients are sent away"
+// means draining, "this process ends" means shutting down.
 std::string AdminListener::answer_readyz() {
   const ServingState state = state_;
   if (drain_requested_ || state == ServingState::draining)
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -28,7 +28,7 @@
 
 policy::Settings decode_settings(const Options& options);  // throws ConfigError
 
-// What only a real workload manager needs of the same settings.
+// What only a real workload manager needs of the same settings; the simulator adapter does without.
 struct RealSettings {
   std::vector<std::string> classes, tenants, kinds, zones, report_fields;  // names by position
   policy::Duration dial_time{};                // a connection not up by then counts as unreachable
--- a/src/coordination/fleet_member.h
+++ b/src/coordination/fleet_member.h
@@ -40,7 +40,8 @@
 class FleetMember {
  public:
   static constexpr const char* kLoadShareTask = "shares";
-  enum WatchSlot : std::size_t { states, predecessor, kWatchSlots };  // watches to keep open
+  // The watches to keep open. `predecessor`: the candidate ahead of this one in the leader election.
+  enum WatchSlot : std::size_t { states, predecessor, kWatchSlots };
 
   // `reported_manager_count`: as reported by the platform. `tasks`: the leader's tasks other than the load
   // shares; they must outlive this.
@@ -61,16 +62,17 @@
   // ---- the published record and the granted share
   void set_requests_per_s(double per_s) { own_record_.requests_per_s = per_s; }
   struct LoadGrant {
-    LoadShare share = 0;  // in effect until valid_until
+    LoadShare share = 0;  // in effect until kLeaseMargin before valid_until
     Time valid_until{};
-    LoadShare share_after = 0;  // in effect from valid_until on
+    LoadShare share_after = 0;  // in effect after that
     std::int64_t epoch = -1;    // of the table that grants the share; -1: no table does
     LoadShare share_at(Time now) const { return now + kLeaseMargin < valid_until ? share : share_after; }
     bool operator==(const LoadGrant&) const = default;
   };
   LoadGrant load_grant() const;
-  // Reports that this process acts on the state of this epoch, so that its record may say so (S3).
+  // Reports that this process acts on the load share table of this epoch, so that its record may say so (S3).
   void acknowledge(std::int64_t epoch);
+  // The same for another task's state of this epoch.
   void acknowledge(const LeaderTask& task, std::int64_t epoch);
   void set_outcome_tallies(std::map<std::string, std::vector<std::int64_t>> by_plan) {
     own_record_.tallies = std::move(by_plan);
@@ -142,8 +144,10 @@
   bool format_known_ = false;
   bool leaving_ = false;
   bool lease_ended_ = false;
-  LoadShare granted_share_ = 0;   // by the table to this session; 0: none
-  LoadShare fallback_share_ = 0;  // without a grant: the last one, at most the even share; 0: never granted
+  LoadShare granted_share_ = 0;  // by the table to this session; 0: none
+  // Share without a grant: the smaller of the last granted share and the even share; 0: none was ever
+  // granted.
+  LoadShare fallback_share_ = 0;
   std::int64_t granted_epoch_ = -1;
   store::Revision highest_revision_ = 0;  // highest revision of the store seen so far
   Time published_at_ = Time::min();
--- a/src/coordination/load_shares.h
+++ b/src/coordination/load_shares.h
@@ -3,10 +3,11 @@
 //
 // Invariant: the shares in effect never sum up to more than the whole, even if members are slow, silent,
 // disconnected or restarted. A share grows only by what is certainly unallocated: the leader publishes a
-// table, waits until every live session has acknowledged it or its lease has ended (S3), and only then
-// publishes the next. A member without a lease keeps the smaller of its last share and its even share, so the
-// leader never allocates that much to others. Every member has at least half of its even share; a newcomer
-// starts with that.
+// table, waits until every live session has acknowledged it or its lease has ended (S3, see fleet_member.h),
+// and only then publishes the next. A member that has lost its lease keeps the smaller of its last share and
+// its even share. The leader therefore never allocates an absent member's even share to other members. Every
+// member has at least half of its even share. A member that was never granted a share starts with that half;
+// the first table that includes it starts from newcomer_share(), between half and the whole of an even share.
 //
 // Shares are integers, in billionths. Managers are identified by name, which is unique in a fleet.
 // No I/O; callable from any thread. Memory: one number per session, for at most kMaxMembers sessions.
@@ -36,7 +37,8 @@
 
 class LoadShareCalculator {
  public:
-  static constexpr double kDamping = 0.3;  // part of the distance to the target made per table
+  // Fraction of the difference to the share by traffic that one table makes up.
+  static constexpr double kDamping = 0.3;
 
   // `reported_manager_count`: as reported by the platform, at least one.
   // `disabled_guards`: flags of Settings::Guard, for tests only.
@@ -58,7 +60,8 @@
   // The share of each newcomer in the next table; 0: there are no newcomers.
   LoadShare newcomer_share(const LoadShareTable& table,
                            const std::map<std::string, MemberRecord>& live_members, LoadShare total) const;
-  // One damped step from `current` to the share for `traffic_ratio` of the fleet's traffic.
+  // Returns the share after one step, damped by kDamping, from `current` towards the share for
+  // `traffic_ratio` of the fleet's traffic.
   LoadShare target_share(LoadShare current, LoadShare total, LoadShare count, double traffic_ratio) const;
 
   const std::size_t reported_manager_count_;
--- a/src/coordination/store_keys.h
+++ b/src/coordination/store_keys.h
@@ -44,10 +44,12 @@
 };
 
 struct MemberRecord {
-  std::string name, version;                                // name of the manager, version of the program
-  double requests_per_s = 0;                                // smoothed
-  std::map<std::string, std::int64_t> acknowledged_epochs;  // by task: the epoch acted on (S3)
-  // By migration plan: counts of outcomes on both sides since the session began (migration/outcome_gate.h).
+  std::string name, version;  // name of the manager, version of the program
+  double requests_per_s = 0;  // smoothed
+  // By task: the epoch acted on (S3, see fleet_member.h).
+  std::map<std::string, std::int64_t> acknowledged_epochs;
+  // By migration plan: counts of request outcomes at the source and at the target of the migration since the
+  // session began, source first (migration/outcome_gate.h).
   std::map<std::string, std::vector<std::int64_t>> tallies;
   bool operator==(const MemberRecord&) const = default;
 };
--- a/src/discovery/discovery_watcher.cpp
+++ b/src/discovery/discovery_watcher.cpp
@@ -102,7 +102,7 @@
   return socket.write(subscription) == net::Socket::WriteResult::all;
 }
 
-// Failure: an event is missing on a connection. Symptom: the endpoint list stays wrong until a restart.
+// Failure: an event is missing on a connection. Symptom: the engine list stays wrong until a restart.
 // Guard: a gap after the connection's first new event is reported; the caller reconnects and requests the
 // missing event.
 DiscoveryWatcher::EventResult DiscoveryWatcher::post_if_new(const protocol::SseEvent& event,
--- a/src/discovery/discovery_watcher.h
+++ b/src/discovery/discovery_watcher.h
@@ -1,4 +1,4 @@
-// Watches the control feed for changes of the endpoint list. Reconnects when a connection ends, and switches
+// Watches the control feed for changes of the engine list. Reconnects when a connection ends, and switches
 // to another address when the configuration changes it. A single thread connects, reads and posts, so events
 // reach the dispatcher in the order of their numbers and never twice, however quickly the address changes.
 // Memory: one incomplete event, whose size the reader bounds. Uses one descriptor.
--- a/src/dispatch/client_responder.h
+++ b/src/dispatch/client_responder.h
@@ -2,7 +2,8 @@
 // does either.
 //
 // Stateless: calls are stored in the RequestTable, connections in ClientSessions. Invariant: a call is closed
-// only after its single final response was sent, or when its client no longer wants one. Not thread-safe.
+// in the same step in which its single final response is sent, or when its client no longer wants one. Not
+// thread-safe.
 #pragma once
 
 #include <string_view>
@@ -30,16 +31,17 @@
   };
   explicit ClientResponder(const Dependencies& dependencies) : deps_(dependencies) {}
 
-  // Responses to requests that are not in the RequestTable, or whose call the caller closes.
+  // These do not close a call: the request is not in the RequestTable, or the calling code closes its call.
   void reject(const RequestReceived& request, Duration retry_after);
   void fail(const RequestReceived& request, std::string_view cause);
   void fail(const BadRequest& bad);
   void send_readiness(const ProbeReceived& probe, bool ready);
   void send_quote(const RequestReceived& request, const scheduler::WaitEstimate& quote);
+  // Adds the quote to the later response; sends nothing.
   void attach_quote(const RequestReceived& request, const scheduler::WaitEstimate& quote);
 
-  // Sends the result of the attempt, moves its rows and their memory reservation to the client, and closes
-  // the call.
+  // Sends the result of the attempt, hands its rows and their memory reservation to the ClientPort, and
+  // closes the call.
   void send_result(Request& request);
   // Fails an open request and closes its call.
   void fail_open(Request& request, std::string_view cause);
@@ -51,9 +53,11 @@
   // Closes the call without a response. The decision module cancels an attempt that is still in flight.
   void abandon(policy::QueryId query);
 
-  // Closes the connection unless it has received something that was not handled yet.
+  // Closes the connection unless it has received something that was not handled yet. This is what `idle`
+  // means here; in ClientSessions an idle connection is one that has no open request.
   void close_if_idle(SessionId session);
-  // Closes stalled connections that have no open request left, once their responses are written.
+  // Closes the connections that are no longer read from (SessionStalled) and have no open request left, once
+  // their responses are written.
   void close_finished_stalled();
 
  private:
--- a/src/dispatch/client_sessions.cpp
+++ b/src/dispatch/client_sessions.cpp
@@ -131,7 +131,8 @@
     session.closing = true;
     to_close.push_back(id);
   }
-  // Also evicts here, because add() is not called while no connection is accepted.
+  // add() evicts only when a connection is accepted. If none can be, e.g. because no descriptor is free, this
+  // makes room.
   if (near_session_limit()) {
     if (const auto id = take_eviction_candidate()) to_close.push_back(*id);
   }
--- a/src/dispatch/client_sessions.h
+++ b/src/dispatch/client_sessions.h
@@ -69,10 +69,10 @@
     Time last_activity{};
     std::size_t open_requests = 0;
     std::size_t responses = 0;
-    bool answered = false;
-    bool served = false;
+    bool answered = false;  // a response of any kind was sent
+    bool served = false;    // a result was sent
     bool closing = false;
-    bool stalled = false;
+    bool stalled = false;  // no longer read from (SessionStalled)
     std::optional<Time> suspected_at;
   };
   bool near_session_limit() const { return sessions_.size() >= limits_.sessions * 3 / 4; }
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -1,5 +1,5 @@
-// The core of the manager: all accepted requests, all attempts in flight, and the decision module that
-// decides about them. It receives events and acts through the ports.
+// The core of the manager: all accepted requests, all attempts in flight, and the decision module
+// (policy::AdmissionController) that decides about them. It receives events and acts through the ports.
 //
 // It is composed of the classes below, each of which documents the state that it owns. The dispatcher
 // determines the order in which they run: an event or a timer, then the decision module until its event queue
@@ -42,8 +42,9 @@
   Dispatcher(const Dispatcher&) = delete;
   Dispatcher& operator=(const Dispatcher&) = delete;
 
-  // Applies the settings that a reload may change: weights, times and hints of the throttle; the same and
-  // the teams of the scheduler.
+  // Apply the settings that a reload may change, among them: for the throttle the weights, the waiting and
+  // reservation times and the maximum retry-after time; for the scheduler the teams with their shares, the
+  // waiting times and the maximum retry-after time.
   void configure(Time now, const throttle::Settings& settings);
   void configure(Time now, const scheduler::Settings& settings);
   // For the operators; nullopt or nullptr if the stage is disabled.
@@ -62,8 +63,9 @@
   // Sets the number of managers, 1 or more; this manager's share of the load is 1 / `count`.
   void set_manager_count(double count);
 
-  // Installs a routing table. Attempts in areas of the table are written before `lease_expiry` or not at all,
-  // whatever delays them. Queued requests use the new table immediately; nothing more is sent by the old one.
+  // Installs a routing table. An attempt in a movable area is written to its engine before `lease_expiry`, or
+  // not at all if it is delayed beyond that. Queued requests use the new table immediately; no further
+  // attempt is sent under the old table.
   void apply_routes(Time now, const routing::RouteTable& table, Time lease_expiry);
   // Returns true if the current table allows every attempt in flight. Only then may the table be reported as
   // applied.
--- a/src/dispatch/engine_directory.h
+++ b/src/dispatch/engine_directory.h
@@ -26,10 +26,11 @@
 class EngineDirectory {
  public:
   using SteadyFromUnix = EngineStartTimes::SteadyFromUnix;
+  // `names`: supplies the names of zones and kinds by position.
   EngineDirectory(const config::RealSettings& names, SteadyFromUnix steady_from_unix)
       : names_(names), start_times_(std::move(steady_from_unix)) {}
 
-  // Applies an event of the engine list and returns it in the form of the decision module. `cached`: the list
+  // Applies an event of the engine list and returns it converted to a policy::EngineList. `cached`: the list
   // was stored before this process started.
   policy::EngineList apply(Time now, const config::MembersEvent& event, bool cached);
   // Removes engines that have been gone for 60 s.
--- a/src/dispatch/response_handler.cpp
+++ b/src/dispatch/response_handler.cpp
@@ -33,6 +33,7 @@
   return Outcome::error;
 }
 
+// An engine that waits reports what it waits for as the value: 2 is a table group.
 policy::ProgressKind progress_kind_of(const EngineResponse& response) {
   if (response.progress == ProgressType::progress) return policy::ProgressKind::progress;
   if (response.progress == ProgressType::spilling) return policy::ProgressKind::spilling;
@@ -69,8 +70,8 @@
   }
 }
 
-// Engines respond in the order in which they read messages, so one that answered the ping has read the
-// cancel.
+// AttemptTracker sends a ping right after each cancel. Engines respond in the order in which they read
+// messages, so the pong confirms that the cancel was read.
 void ResponseHandler::on_pong(const EngineConnection& connection, const std::string& tag) {
   const auto confirmed =
       std::find_if(connection.in_flight.begin(), connection.in_flight.end(), [&](const auto& entry) {
--- a/src/protocol/management_call.h
+++ b/src/protocol/management_call.h
@@ -9,6 +9,7 @@
 
 namespace yokestream::protocol {
 
+// The commands that the admin listener accepts.
 enum class ManagementWord { readyz, telemetry, evacuate, activate };
 struct BadManagementCall {
   std::string problem;
--- a/tests/unit/policy/learned_state_test.cpp
+++ b/tests/unit/policy/learned_state_test.cpp
@@ -95,8 +95,8 @@
   EXPECT_FALSE(fresh.restore(known, 0s));  // events were handled already
 }
 
-// Number of queries that the managers of this many processes send to an engine during its first two seconds,
-// in which too much work overloads it.
+// Number of queries that one of four managers, running as `processes` processes, sends to an engine in its
+// first two seconds (cold_overload_window), in which too much work overloads it. Sum over 20 seeds.
 int sends_to_cold_engine(std::size_t processes) {
   Settings settings = make_settings();
   settings.manager_count = 4, settings.slow_start_window = 10s, settings.slow_start_initial_ratio = 0.3,
@@ -122,7 +122,7 @@
   return sent;
 }
 
-TEST(ManagerCount, TwoProcessesSendAColdEngineNoMoreThanOneDoes) {
+TEST(ManagerCount, TwoProcessesSendAColdEngineAboutAsMuchAsOne) {
   const int one = sends_to_cold_engine(1), two = sends_to_cold_engine(2);
   EXPECT_GT(one, 20);
   EXPECT_GT(two, one / 2);
